--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,7 @@
 //! # A node of one's own
 //!
 //! ```
-//! use cherryusher::*;
+//! use mothspool::*;
 //!
 //! let settings = Settings {
 //!     classes: vec![Class {
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,8 +6,8 @@
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
-use cherryusher::wire::{Decoder, Record, Reply, WireError};
-use cherryusher::{Action, Balancer, Event};
+use mothspool::wire::{Decoder, Record, Reply, WireError};
+use mothspool::{Action, Balancer, Event};
 
 /// A node: its module, and whether its site has tenants.
 struct Node {
@@ -79,7 +79,7 @@
     match serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("cherryusher-drill: {error}");
+            eprintln!("mothspool-simulator: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/node/clients.rs
+++ b/src/node/clients.rs
@@ -8,7 +8,6 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cherryusher::{Effect, Event, RequestId};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::uri::PathAndQuery;
@@ -16,6 +15,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
+use mothspool::{Effect, Event, RequestId};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, sleep, timeout};
@@ -532,7 +532,7 @@
                 Progress::Kept | Progress::Failed(_) => {}
             });
         }
-        let request = cherryusher::Request {
+        let request = mothspool::Request {
             id: number,
             class: class.index,
             remaining: patience.as_micros() as u64,
@@ -598,7 +598,7 @@
 
 /// A request that the node has taken.
 struct Taken<'a> {
-    request: cherryusher::Request,
+    request: mothspool::Request,
     outgoing: Rc<Outgoing>,
     _unique: Claimed<'a>,
 }
@@ -718,7 +718,7 @@
         );
         // Tests run beside each other, each on a thread of its own.
         let (process, thread) = (std::process::id(), std::thread::current().id());
-        let path = std::env::temp_dir().join(format!("dunelink-clients-{process}-{thread:?}.json"));
+        let path = std::env::temp_dir().join(format!("mothspool-clients-{process}-{thread:?}.json"));
         std::fs::write(&path, text).unwrap();
         let config = Rc::new(Config::read(path.to_str().unwrap()).unwrap());
         std::fs::remove_file(path).unwrap();
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -6,8 +6,8 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-use cherryusher::wire::parse_settings;
-use cherryusher::{Effect, Settings};
+use mothspool::wire::parse_settings;
+use mothspool::{Effect, Settings};
 use serde::Deserialize;
 use serde_json::Value;
 
--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cherryusher::{Discovery, Event, ServerEntry, ServerId, ServerState};
 use http_body_util::{BodyExt, Empty};
 use hyper::{Request, StatusCode, header};
 use hyper_util::rt::TokioIo;
+use mothspool::{Discovery, Event, ServerEntry, ServerId, ServerState};
 use serde::Deserialize;
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, watch};
--- a/src/node/engine.rs
+++ b/src/node/engine.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use cherryusher::{Action, AttemptNo, Balancer, Ended, Event, Micros, Outcome, Request, RequestId, ServerId};
 use hyper::Response;
+use mothspool::{Action, AttemptNo, Balancer, Ended, Event, Micros, Outcome, Request, RequestId, ServerId};
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
--- a/src/node/log.rs
+++ b/src/node/log.rs
@@ -4,6 +4,6 @@
 macro_rules! log {
     ($($line:tt)*) => {{
         use std::io::Write as _;
-        let _ = writeln!(std::io::stderr(), "dunelink: {}", format_args!($($line)*));
+        let _ = writeln!(std::io::stderr(), "mothspool: {}", format_args!($($line)*));
     }};
 }
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -1,4 +1,4 @@
-//! One dunelink node: it takes requests from clients, asks the decision module where each goes, and passes
+//! One node: it takes requests from clients, asks the decision module where each goes, and passes
 //! on the servers' answers.
 #![deny(unsafe_code)]
 
@@ -24,7 +24,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cherryusher::Balancer;
+use mothspool::Balancer;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{Notify, watch};
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -8,7 +8,6 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use bytes::Bytes;
-use cherryusher::Event;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
@@ -16,6 +15,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
+use mothspool::Event;
 use serde::Deserialize;
 use serde_json::json;
 use tokio::net::{TcpListener, TcpStream};
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -10,7 +10,6 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use cherryusher::{Micros, Outcome, ServerEntry, ServerId, ServerState};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::ext::on_informational;
@@ -18,6 +17,7 @@
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
+use mothspool::{Micros, Outcome, ServerEntry, ServerId, ServerState};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 use tokio_util::task::AbortOnDropHandle;
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -14,6 +14,9 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::{Instant, sleep};
 
+/// What the file's name begins with: the program's former name, since a process of an older version has to find the
+/// same file.
+const FILE_PREFIX: &str = "dunelink";
 /// Of files with another number nothing is known.
 const VERSION: u32 = 1;
 /// How long another process may hold the lock, and how often that is looked at. It is held for one write.
@@ -54,7 +57,7 @@
     /// The file of the node with this name, as it is; without one, or if nothing can be made of it, no orders.
     pub fn open(folder: &Path, name: &str) -> Shared {
         let safe = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
-        let path = folder.join(format!("dunelink-{}.json", name.chars().map(safe).collect::<String>()));
+        let path = folder.join(format!("{FILE_PREFIX}-{}.json", name.chars().map(safe).collect::<String>()));
         let shared = Shared { path, held: RefCell::default(), stamp: Cell::new(None) };
         shared.read();
         shared
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A small bench of hands for scenario tests: settings, servers and a node to talk to.
 #![allow(dead_code)]
 
-use cherryusher::*;
+use mothspool::*;
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,8 +4,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use cherryusher::*;
 use common::*;
+use mothspool::*;
 
 /// What the world knows of one attempt.
 struct Sent {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -4,8 +4,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use cherryusher::*;
 use common::*;
+use mothspool::*;
 
 /// Serves many requests of each tenant and tells which servers each one reached.
 fn reached(node: &mut Node, tenants: &[Option<u32>]) -> BTreeMap<Option<u32>, BTreeSet<ServerId>> {
