--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -89,7 +89,7 @@
     fn forget(&mut self, i: usize, entry: EndpointInfo) {
         let Endpoint { in_flight, share, size, .. } = self.endpoints[i];
         let fresh = Endpoint::new(entry, self.settings.classes.len());
-        self.endpoints[i] = Endpoint { in_flight, share, size, ..fresh };
+        self.endpoints[i] = Endpoint { share, size, in_flight, ..fresh };
     }
 
     pub(crate) fn ask(&mut self) {
@@ -118,7 +118,7 @@
             match self.find(entry.id) {
                 Err(i) => self.endpoints.insert(i, Endpoint::new(entry, self.settings.classes.len())),
                 Ok(i) if self.endpoints[i].entry.started_at == entry.started_at => {
-                    self.endpoints[i].entry = entry
+                    self.endpoints[i].entry = entry;
                 }
                 // A restarted server keeps its id, but nothing learned of it holds any more.
                 Ok(i) => self.forget(i, entry),
--- a/src/node/admin/mod.rs
+++ b/src/node/admin/mod.rs
@@ -17,7 +17,6 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use mothspool::Event;
 use serde::Deserialize;
 use serde_json::json;
 use tokio::net::{TcpListener, TcpStream};
@@ -25,14 +24,13 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::admin::state_store::{AdminState, StateStore};
-use crate::discovery::id_of;
+use crate::config::MAX_CALLS;
 use crate::downstream::DownstreamServer;
-use crate::engine::{EngineEvent, EngineHandle};
+use crate::engine::EngineHandle;
+use crate::lifecycle::Lifecycle;
 use crate::net::DownstreamSocket;
-use crate::upstream::UpstreamPool;
+use crate::protocol::endpoint_list::id_of;
 
-/// The most calls at once; descriptors are set aside for them.
-pub const MAX_CALLS: usize = 12;
 /// How long a caller may take to bring a call.
 const CALL_WITHIN: Duration = Duration::from_secs(1);
 /// How long the whole of a call may take, its caller's reading included.
@@ -91,7 +89,7 @@
     /// The orders as they are carried out.
     done: RefCell<AdminState>,
     clients: Rc<DownstreamServer>,
-    servers: Rc<UpstreamPool>,
+    lifecycle: Rc<Lifecycle>,
     engine: EngineHandle,
 }
 
@@ -99,10 +97,10 @@
     pub fn new(
         shared: StateStore,
         clients: Rc<DownstreamServer>,
-        servers: Rc<UpstreamPool>,
+        lifecycle: Rc<Lifecycle>,
         engine: EngineHandle,
     ) -> AdminService {
-        let desk = AdminService { shared, done: RefCell::default(), clients, servers, engine };
+        let desk = AdminService { shared, done: RefCell::default(), clients, lifecycle, engine };
         desk.carry_out();
         desk
     }
@@ -111,16 +109,14 @@
     fn carry_out(&self) {
         let orders = self.shared.orders();
         let done = self.done.replace(orders.clone());
-        self.clients.set_standby(orders.standby);
+        self.lifecycle.set_standby(orders.standby);
         for (uid, at) in &orders.returned {
             if done.returned.get(uid) != Some(at) {
-                self.servers.exit_maintenance(id_of(uid));
-                self.engine.send(EngineEvent::Balancer(Event::ExitMaintenance(id_of(uid), *at)));
+                self.engine.exit_maintenance(id_of(uid), *at);
             }
         }
         for uid in &orders.maintenance {
-            self.servers.enter_maintenance(id_of(uid));
-            self.engine.send(EngineEvent::Balancer(Event::EnterMaintenance(id_of(uid))));
+            self.engine.enter_maintenance(id_of(uid));
         }
     }
 
@@ -146,7 +142,7 @@
                 release_path = started;
             }
             if own <= 1 || begun.elapsed() >= GIVEN_WAY_WITHIN || self.shared.were_descriptors_released(own) {
-                self.clients.descriptors_available();
+                self.lifecycle.descriptors_available();
             }
             sleep(FOLLOW_EVERY).await;
             if self.shared.read() {
@@ -191,7 +187,7 @@
                     return said(StatusCode::BAD_REQUEST, "not {\"host\":\"ID\"}");
                 };
                 let out = self.shared.orders().maintenance.contains(&host);
-                if !out && !self.servers.is_known(id_of(&host)) {
+                if !out && !self.engine.is_known(id_of(&host)) {
                     return said(StatusCode::NOT_FOUND, "no such host");
                 }
                 match call {
@@ -213,13 +209,13 @@
     }
 
     fn status(&self) -> Response<Full<Bytes>> {
-        self.told(if self.clients.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
+        self.told(if self.lifecycle.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
     }
 
     /// An answer that shows how things stand.
     fn told(&self, status: StatusCode) -> Response<Full<Bytes>> {
         let orders = self.shared.orders();
-        let body = json!({"phase": self.clients.phase_name(), "able": self.clients.is_ready(),
+        let body = json!({"phase": self.lifecycle.phase_name(), "able": self.lifecycle.is_ready(),
             "maintenance": orders.maintenance});
         let mut response = Response::new(Full::from(format!("{body}\n")));
         *response.status_mut() = status;
--- a/src/node/body/mod.rs
+++ b/src/node/body/mod.rs
@@ -15,6 +15,7 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 
+use crate::config::max_buffered_bytes;
 use crate::net::SocketObserver;
 
 /// The most that a body may hold, in either direction.
@@ -23,8 +24,6 @@
 pub const MAX_BUFFERED_BODY: usize = 64 << 10;
 /// What was read of a larger one is passed on in pieces of this size.
 const PIECE: usize = 8 << 10;
-/// The part of the node's memory that may go into what is held whole.
-const HELD_PART: usize = 8;
 /// How slow a client may be, in bytes a second. It is owed twice this, and no machine is quite even.
 const SLOWEST: f64 = 32_000.0;
 /// How long a client that is fast enough may pause: it may write what it owes for a second at once.
@@ -43,11 +42,6 @@
 pub const LEFT: RequestError = (StatusCode::BAD_REQUEST, "the client has left");
 const BROKEN: RequestError = (StatusCode::BAD_REQUEST, "the body is broken");
 
-/// How much of the node's memory may be held.
-pub fn max_buffered_bytes(memory: usize) -> usize {
-    memory / HELD_PART
-}
-
 /// Room for what is held whole, of all requests and answers.
 pub struct BufferBudget {
     left: Cell<usize>,
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -11,14 +11,22 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::admin::MAX_CALLS;
-use crate::body::max_buffered_bytes;
-use crate::discovery::EndpointList;
+use crate::protocol::endpoint_list::EndpointList;
 
 /// Descriptors for all but connections of clients and to servers: standard streams, epoll, wake-ups, signals,
 /// the listeners, discovery, the shared state's files, and operators.
 const SPARE_SOCKETS: usize = 16 + MAX_CALLS;
 
+/// The most calls of the admin API at once; descriptors are set aside for them.
+pub const MAX_CALLS: usize = 12;
+/// The part of the node's memory that may go into bodies that are buffered whole.
+const BUFFERED_BODIES_PART: usize = 8;
+
+/// How many of `memory` bytes may go into bodies that are buffered whole.
+pub fn max_buffered_bytes(memory: usize) -> usize {
+    memory / BUFFERED_BODIES_PART
+}
+
 /// No deadline is longer, whatever the settings or a client say.
 pub const MAX_DEADLINE: Duration = Duration::from_secs(3600);
 
@@ -209,7 +217,7 @@
         }
         Value::Null => {}
         Value::Array(_) => {
-            put(path, &strings(value).iter().map(|s| plain(s)).collect::<Vec<_>>().join(","), lines)
+            put(path, &strings(value).iter().map(|s| plain(s)).collect::<Vec<_>>().join(","), lines);
         }
         _ => put(path, &plain(&scalar(value)), lines),
     }
--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -12,16 +12,15 @@
 use http_body_util::{BodyExt, Empty};
 use hyper::{Request, StatusCode, header};
 use hyper_util::rt::TokioIo;
-use mothspool::{DiscoveryMode, EndpointId, EndpointInfo, EndpointState, Event};
-use serde::Deserialize;
+use mothspool::{DiscoveryMode, EndpointInfo, EndpointState};
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, timeout, timeout_at};
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::config::Config;
-use crate::engine::{EngineEvent, EngineHandle};
-use crate::upstream::UpstreamPool;
+use crate::engine::{EngineHandle, ListKind};
+use crate::protocol::endpoint_list::{EndpointList, EndpointRecord, State, id_of};
 
 /// A watch that says nothing for this long is dead: a line comes every 2 s. What it misses counts as told after 6 s,
 /// and the next watch may be silent too: the one after that has to be up by then, the waits between included.
@@ -39,45 +38,6 @@
 /// The longest list; one of some thousand servers, however it is indented.
 const LONGEST_LIST: usize = 2 << 20;
 
-/// What discovery says on one line.
-#[derive(Default, Deserialize)]
-pub struct EndpointList {
-    rev: u64,
-    /// Whether it is the whole list, not changes.
-    all: bool,
-    targets: Vec<EndpointRecord>,
-}
-
-#[derive(Deserialize)]
-struct EndpointRecord {
-    uid: String,
-    endpoint: SocketAddr,
-    #[serde(default)]
-    az: String,
-    #[serde(default)]
-    model: String,
-    #[serde(default)]
-    pod_group: Option<u16>,
-    state: State,
-    #[serde(default)]
-    capacity_hint: f64,
-    #[serde(default)]
-    boot_ms: u64,
-}
-
-#[derive(Clone, Copy, Deserialize)]
-#[serde(rename_all = "lowercase")]
-enum State {
-    Ready,
-    Draining,
-    Gone,
-}
-
-/// A fixed hash of the uid: every node, and this one after a restart, must build the same pools.
-pub fn id_of(uid: &str) -> EndpointId {
-    xxhash_rust::xxh3::xxh3_64(uid.as_bytes())
-}
-
 /// Numbers for names: the settings' in their order, then others as lists bring them. Two that the settings leave out
 /// are no more alike than two that they name: a repeat may be tied to one of them.
 struct Numbers(RefCell<HashMap<String, u8>>);
@@ -128,14 +88,14 @@
     }
 
     /// Passes a list on: addresses and states to the servers' side at once, then the rest to the engine.
-    fn tell(&self, update: &EndpointList, cached: bool, servers: &UpstreamPool, engine: &EngineHandle) {
-        let list: Vec<EndpointInfo> = update.targets.iter().map(|t| self.entry(t)).collect();
-        servers.update_endpoints(list.iter().zip(&update.targets).map(|(e, t)| (*e, t.endpoint)), update.all);
-        engine.send(EngineEvent::Balancer(match (cached, update.all) {
-            (true, _) => Event::CachedSnapshot(list),
-            (_, true) => Event::EndpointSnapshot(list),
-            _ => Event::EndpointDelta(list),
-        }));
+    fn notify(&self, update: &EndpointList, cached: bool, engine: &EngineHandle) {
+        let list = update.targets.iter().map(|record| (self.entry(record), record.endpoint)).collect();
+        let kind = match (cached, update.all) {
+            (true, _) => ListKind::Cached,
+            (_, true) => ListKind::Snapshot,
+            _ => ListKind::Delta,
+        };
+        engine.update_endpoints(kind, list);
     }
 }
 
@@ -144,12 +104,11 @@
 pub async fn follow(
     config: Rc<Config>,
     mut address: watch::Receiver<SocketAddr>,
-    servers: Rc<UpstreamPool>,
     engine: EngineHandle,
     subscribe: Rc<Notify>,
 ) {
     let reader = EndpointParser::new(&config);
-    reader.tell(&config.known, true, &servers, &engine);
+    reader.notify(&config.known, true, &engine);
     let mut rev = config.known.rev;
     let mut failures = 0;
     let mut random = fastrand::Rng::with_seed(config.seed);
@@ -161,7 +120,7 @@
         // A watch that was opened tells nothing until something changes.
         let heard = |update: Option<&EndpointList>| {
             failures = 0;
-            update.into_iter().for_each(|update| reader.tell(update, false, &servers, &engine));
+            update.into_iter().for_each(|update| reader.notify(update, false, &engine));
         };
         let why = tokio::select! {
             biased;
--- a/src/node/downstream/mod.rs
+++ b/src/node/downstream/mod.rs
@@ -19,16 +19,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, sleep, timeout};
-use tokio_util::sync::CancellationToken;
 
 use crate::body::{BufferBudget, LEFT, RequestBody, RequestError, ResponseBody, UploadProgress};
 use crate::config::{ClassRule, Config, MAX_DEADLINE};
 use crate::engine::{EngineEvent, EngineHandle, FinalAnswer};
+use crate::lifecycle::Lifecycle;
 use crate::net::{DownstreamSocket, SocketObserver};
-use crate::upstream::{DEADLINE, ID, KEY, UpstreamPool, UpstreamRequest, drop_hop_headers, out_of_sockets};
+use crate::protocol::headers::{COST, DEADLINE, ID, KEY, OWNER, drop_hop_headers};
+use crate::upstream::{UpstreamPool, UpstreamRequest, out_of_sockets};
 
-const OWNER: HeaderName = HeaderName::from_static("req-owner");
-const COST: HeaderName = HeaderName::from_static("req-cost");
 /// The longest id.
 const ID_MOST: usize = 128;
 /// A deadline counts from the client's sending; this much of it has passed when the request is read, and
@@ -62,22 +61,6 @@
 /// What a client is told when the node has no connection left to serve it with.
 const CROWDED: Duration = Duration::from_secs(1);
 
-/// What the node means to do with its clients. In all phases it serves those that come; in all but the first
-/// it ends each connection with its next answer.
-#[derive(Clone, Copy, PartialEq)]
-enum Phase {
-    Serving,
-    /// Operators want it empty: clients are to stay away, and idle connections end.
-    Standby,
-    /// It was told to go, and nobody takes its place.
-    Leaving,
-    /// It was told to go, and another process has its listening socket: clients stay with the node.
-    HandedOver {
-        /// Whether operators want the node empty all the same.
-        standby: bool,
-    },
-}
-
 /// A client's connection, as the others see it.
 struct Connection {
     /// Since when it has had no request open, and whether it has had one.
@@ -144,14 +127,9 @@
     config: Rc<Config>,
     engine: EngineHandle,
     servers: Rc<UpstreamPool>,
-    phase: Cell<Phase>,
-    able: Cell<bool>,
-    /// Whether another process of the node may still hold what this one needs.
-    waits_for_room: Cell<bool>,
+    lifecycle: Rc<Lifecycle>,
     /// How many descriptors there are for connections of all kinds.
     sockets: Cell<usize>,
-    /// Told when operators have said whether the node is to be empty.
-    emptied: Notify,
     connections: RefCell<HashMap<u64, Rc<Connection>>>,
     /// How many of them have a request open, and how many were told to end.
     busy: Cell<usize>,
@@ -161,8 +139,6 @@
     room: Rc<BufferBudget>,
     /// Told when a connection has ended.
     freed: Notify,
-    /// Told when the node can wait no longer.
-    shutdown_deadline: CancellationToken,
 }
 
 impl DownstreamServer {
@@ -170,23 +146,20 @@
         config: Rc<Config>,
         engine: EngineHandle,
         servers: Rc<UpstreamPool>,
+        lifecycle: Rc<Lifecycle>,
         room: Rc<BufferBudget>,
     ) -> DownstreamServer {
         DownstreamServer {
             engine,
             servers,
-            phase: Cell::new(Phase::Serving),
-            able: Cell::new(false),
-            waits_for_room: Cell::new(false),
+            lifecycle,
             sockets: Cell::new(config.sockets),
-            emptied: Notify::new(),
             connections: RefCell::default(),
             busy: Cell::new(0),
             closing: Cell::new(0),
             ids: RefCell::default(),
             room,
             freed: Notify::new(),
-            shutdown_deadline: CancellationToken::new(),
             config,
         }
     }
@@ -252,50 +225,12 @@
         });
     }
 
-    /// Does not serve until it is told that it has room.
-    pub fn await_descriptors(&self) {
-        self.waits_for_room.set(true);
-    }
-
-    /// Has its part of the node's descriptors.
-    pub fn descriptors_available(&self) {
-        self.waits_for_room.set(false);
-    }
-
-    /// Whether requests can be served, now or once before.
-    pub fn is_ready(&self) -> bool {
-        self.able.set(self.able.get() || (!self.waits_for_room.get() && self.servers.has_ready_endpoint()));
-        self.able.get()
-    }
-
-    /// What operators read of the phase.
-    pub fn phase_name(&self) -> &'static str {
-        match self.phase.get() {
-            Phase::Serving => "serving",
-            Phase::Standby => "standby",
-            Phase::Leaving | Phase::HandedOver { .. } => "leaving",
-        }
-    }
-
-    /// Empties the node of clients, or takes them again.
-    pub fn set_standby(&self, standby: bool) {
-        self.phase.set(match self.phase.get() {
-            Phase::Serving | Phase::Standby if standby => Phase::Standby,
-            Phase::Serving | Phase::Standby => Phase::Serving,
-            Phase::Leaving => Phase::Leaving,
-            Phase::HandedOver { .. } => Phase::HandedOver { standby },
-        });
-        self.emptied.notify_one();
-    }
-
     /// Ends connections in standby, once each has been idle for a while: those in use end with an answer.
     pub async fn run_standby_drain(&self) {
         loop {
-            while self.phase.get() != Phase::Standby {
-                self.emptied.notified().await;
-            }
+            self.lifecycle.standby().await;
             sleep(STANDBY_LOOK).await;
-            if self.phase.get() == Phase::Standby {
+            if self.lifecycle.is_standby() {
                 self.end_spare(STANDBY_IDLE);
             }
         }
@@ -376,7 +311,7 @@
                 let answered = clients.respond(request, &seen, began + REQUEST_WITHIN).await;
                 connection.fresh.set(false);
                 let ends =
-                    clients.over() || connection.closing.get() || clients.phase.get() != Phase::Serving;
+                    clients.over() || connection.closing.get() || !clients.lifecycle.keeps_connections();
                 let response = match answered {
                     Ok(Answered { response, next: Next::Follows }) if !ends => response,
                     Ok(Answered { response, next: Next::Follows | Next::Blurred }) => ending(response),
@@ -419,14 +354,6 @@
         }
     }
 
-    /// From now on each answer ends its connection; `handed_over` if another process takes new ones.
-    pub fn begin_shutdown(&self, handed_over: bool) {
-        self.phase.set(match (handed_over, self.phase.get()) {
-            (true, phase) => Phase::HandedOver { standby: phase == Phase::Standby },
-            (false, _) => Phase::Leaving,
-        });
-    }
-
     /// Ends connections as soon as they have no request open, and waits until all have.
     pub async fn drain(&self) {
         while !self.connections.borrow().is_empty() {
@@ -435,11 +362,6 @@
         }
     }
 
-    /// Answers what is open as failed: the node is about to be ended, and no answer at all would be worse.
-    pub fn expire_shutdown_deadline(&self) {
-        self.shutdown_deadline.cancel();
-    }
-
     /// The answer, or what is wrong with the request.
     async fn respond(
         &self,
@@ -457,7 +379,7 @@
         let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
         let taken = self.read(request, seen, by).await?;
         let outgoing = taken.outgoing.clone();
-        let response = if self.shutdown_deadline.is_cancelled() {
+        let response = if self.lifecycle.is_past_shutdown_deadline() {
             // Not sent on at all: others take it at once.
             refused(None)
         } else if self.busy.get() > self.served() {
@@ -478,11 +400,7 @@
         if method != Method::GET && method != Method::HEAD {
             return plain(StatusCode::METHOD_NOT_ALLOWED, "GET only");
         }
-        let welcome = match self.phase.get() {
-            Phase::Serving | Phase::HandedOver { standby: false } => true,
-            Phase::Standby | Phase::Leaving | Phase::HandedOver { standby: true } => false,
-        };
-        match self.is_ready() && welcome {
+        match self.lifecycle.welcomes_clients() {
             true => plain(StatusCode::OK, "ok"),
             false => plain(StatusCode::SERVICE_UNAVAILABLE, "not serving"),
         }
@@ -532,10 +450,10 @@
             let engine = self.engine.clone();
             stream.on_progress(move |progress| match progress {
                 UploadProgress::Forwarding => {
-                    engine.send(EngineEvent::Balancer(Event::BodyForwarded(number)))
+                    engine.send(EngineEvent::Balancer(Event::BodyForwarded(number)));
                 }
                 UploadProgress::Complete(_) => {
-                    engine.send(EngineEvent::Balancer(Event::BodyCompleted(number)))
+                    engine.send(EngineEvent::Balancer(Event::BodyCompleted(number)));
                 }
                 // The client is told, and then counts as having left.
                 UploadProgress::Buffered | UploadProgress::Failed(_) => {}
@@ -605,7 +523,7 @@
             answer = answer => answer,
             wrong = failed => return Err(wrong),
             () = seen.closed() => return Err(LEFT),
-            () = self.shutdown_deadline.cancelled() => {
+            () = self.lifecycle.shutdown_deadline() => {
                 return Ok(plain(StatusCode::GATEWAY_TIMEOUT, "the node is leaving"));
             }
         };
@@ -751,8 +669,9 @@
         std::fs::remove_file(path).unwrap();
         let room = BufferBudget::new(config.memory);
         let servers = Rc::new(UpstreamPool::new(&config, room.clone()));
-        let (mailbox, _) = EngineHandle::new(1);
-        Rc::new(DownstreamServer::new(config, mailbox, servers, room))
+        let (mailbox, _) = EngineHandle::new(1, servers.clone());
+        let lifecycle = Rc::new(Lifecycle::new(servers.clone()));
+        Rc::new(DownstreamServer::new(config, mailbox, servers, lifecycle, room))
     }
 
     /// A peer whose connection is kept and idle, and that connection.
--- a/src/node/engine/mod.rs
+++ b/src/node/engine/mod.rs
@@ -4,12 +4,14 @@
 use std::cell::Cell;
 use std::collections::{HashMap, VecDeque};
 use std::future::poll_fn;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use hyper::Response;
 use mothspool::{
-    Action, AttemptNumber, AttemptResult, Balancer, EndpointId, Event, Micros, Outcome, Request, RequestId,
+    Action, AttemptNumber, AttemptResult, Balancer, EndpointId, EndpointInfo, Event, Micros, Outcome,
+    Request, RequestId,
 };
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::task::AbortHandle;
@@ -50,31 +52,76 @@
     ResponseStarted(RequestId, AttemptNumber, Response<StreamingResponse>),
 }
 
-/// The way to the engine.
+/// The way to the engine, and to what it knows of endpoints. What must hold at once for attempts under way is applied
+/// to the connection pool before the balancer hears of it.
 #[derive(Clone)]
 pub struct EngineHandle {
     sender: mpsc::UnboundedSender<EngineEvent>,
     next: Rc<Cell<RequestId>>,
+    upstream: Rc<UpstreamPool>,
 }
 
 impl EngineHandle {
-    /// The mailbox and what the engine reads from it. It holds no more than the open connections cause.
-    pub fn new(seed: u64) -> (EngineHandle, mpsc::UnboundedReceiver<EngineEvent>) {
+    /// A handle, and the events that the engine reads. The queue holds no more than the open connections cause.
+    pub fn new(
+        seed: u64,
+        upstream: Rc<UpstreamPool>,
+    ) -> (EngineHandle, mpsc::UnboundedReceiver<EngineEvent>) {
         let (sender, receiver) = mpsc::unbounded_channel();
-        // The module hashes ids with servers: nodes must not all count from the same number. The highest
-        // bits stay clear of the module's own timer tokens.
-        (EngineHandle { sender, next: Rc::new(Cell::new(seed >> 2)) }, receiver)
+        // The balancer hashes request ids with endpoints: nodes must not all count from the same number. The highest
+        // bits stay clear of the balancer's own timer tokens.
+        let next = Rc::new(Cell::new(seed >> 2));
+        (EngineHandle { sender, next, upstream }, receiver)
     }
 
-    /// Tells the engine; at the very end there may be none.
-    pub fn send(&self, happening: EngineEvent) {
-        let _ = self.sender.send(happening);
+    /// Notifies the engine. At the very end of the process there may be none.
+    pub fn send(&self, event: EngineEvent) {
+        let _ = self.sender.send(event);
     }
 
-    /// A number for a request. A client's `Req-Id` might come twice, this does not.
+    /// A new request id. A client's `Req-Id` might come twice, this does not.
     pub fn next_request_id(&self) -> RequestId {
         self.next.replace(self.next.get() + 1)
     }
+
+    /// Takes in an endpoint list.
+    pub fn update_endpoints(&self, kind: ListKind, list: Vec<(EndpointInfo, SocketAddr)>) {
+        self.upstream.update_endpoints(list.iter().copied(), kind != ListKind::Delta);
+        let list = list.into_iter().map(|(endpoint, _)| endpoint).collect();
+        self.send(EngineEvent::Balancer(match kind {
+            ListKind::Cached => Event::CachedSnapshot(list),
+            ListKind::Snapshot => Event::EndpointSnapshot(list),
+            ListKind::Delta => Event::EndpointDelta(list),
+        }));
+    }
+
+    /// Whether an endpoint list has ever named this endpoint.
+    pub fn is_known(&self, endpoint: EndpointId) -> bool {
+        self.upstream.is_known(endpoint)
+    }
+
+    /// Sends an endpoint nothing new from now on, whatever lists say.
+    pub fn enter_maintenance(&self, endpoint: EndpointId) {
+        self.upstream.enter_maintenance(endpoint);
+        self.send(EngineEvent::Balancer(Event::EnterMaintenance(endpoint)));
+    }
+
+    /// Sends an endpoint requests again, as one that started at this time (Unix microseconds).
+    pub fn exit_maintenance(&self, endpoint: EndpointId, started_at: Micros) {
+        self.upstream.exit_maintenance(endpoint);
+        self.send(EngineEvent::Balancer(Event::ExitMaintenance(endpoint, started_at)));
+    }
+}
+
+/// What an endpoint list is.
+#[derive(Clone, Copy, PartialEq)]
+pub enum ListKind {
+    /// All endpoints as held before the start; it may be old.
+    Cached,
+    /// All endpoints; one that is missing is gone.
+    Snapshot,
+    /// Those that have changed.
+    Delta,
 }
 
 /// An open request, or one that is answered with attempts still out.
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -11,7 +11,9 @@
 mod discovery;
 mod downstream;
 mod engine;
+mod lifecycle;
 mod net;
+mod protocol;
 mod upstream;
 
 use std::error::Error;
@@ -34,6 +36,7 @@
 use crate::config::Config;
 use crate::downstream::DownstreamServer;
 use crate::engine::{Engine, EngineHandle};
+use crate::lifecycle::Lifecycle;
 use crate::upstream::UpstreamPool;
 
 /// For how long after SIGTERM connections are taken in: new ones come for up to 0.4 s.
@@ -64,9 +67,10 @@
         None => None,
     };
     log!("{} listens on {}", config.name, listener.local_addr()?);
-    let (mailbox, inbox) = EngineHandle::new(config.seed);
     let room = BufferBudget::new(config.memory);
     let (servers, subscribe) = (Rc::new(UpstreamPool::new(&config, room.clone())), Rc::new(Notify::new()));
+    let (mailbox, inbox) = EngineHandle::new(config.seed, servers.clone());
+    let lifecycle = Rc::new(Lifecycle::new(servers.clone()));
     let balancer = Balancer::new(config.settings.clone(), config.seed)?;
     let engine = Engine::new(balancer, servers.clone(), mailbox.clone(), subscribe.clone());
     spawn_local(engine.run(inbox));
@@ -74,15 +78,16 @@
     spawn_local(async move { swept.run_idle_sweep().await });
     let (moved, address) = watch::channel(config.discovery);
     spawn_local(reread(path, hang_up, moved));
-    spawn_local(discovery::follow(config.clone(), address, servers.clone(), mailbox.clone(), subscribe));
-    let clients = Rc::new(DownstreamServer::new(config.clone(), mailbox.clone(), servers.clone(), room));
+    spawn_local(discovery::follow(config.clone(), address, mailbox.clone(), subscribe));
+    let clients =
+        Rc::new(DownstreamServer::new(config.clone(), mailbox.clone(), servers, lifecycle.clone(), room));
     if let Some(listener) = operators {
         log!("{} hears operators on {}", config.name, listener.local_addr()?);
         let shared = StateStore::open(&std::env::temp_dir(), &config.name);
         if handed_over {
-            clients.await_descriptors();
+            lifecycle.await_descriptors();
         }
-        let desk = Rc::new(AdminService::new(shared, clients.clone(), servers, mailbox));
+        let desk = Rc::new(AdminService::new(shared, clients.clone(), lifecycle.clone(), mailbox));
         let (following, emptying) = (desk.clone(), clients.clone());
         spawn_local(async move { following.follow().await });
         spawn_local(async move { emptying.run_standby_drain().await });
@@ -91,19 +96,19 @@
     let watched = clients.clone();
     spawn_local(async move { watched.run_idle_sweep().await });
     let stop = Rc::new(Notify::new());
-    let (able, accepted) = (clients.clone(), stop.clone());
+    let (starting, accepting_clients, accepted) = (lifecycle.clone(), clients.clone(), stop.clone());
     let accepting = spawn_local(async move {
         // While another process may serve, what this one could not serve is that one's.
-        while handed_over && !able.is_ready() {
+        while handed_over && !starting.is_ready() {
             sleep(ABLE_LOOK).await;
         }
-        able.accept(listener, accepted).await;
+        accepting_clients.accept(listener, accepted).await;
     });
 
     terminate.recv().await;
     let shutdown_deadline = Instant::now() + config.longest().min(DEADLINE_MOST) + LAST_CALL;
     log!("{} is leaving", config.name);
-    clients.begin_shutdown(handed_over);
+    lifecycle.begin_shutdown(handed_over);
     if handed_over {
         // The successor takes what waits in the kernel. Clients in the midst of things move with their answers.
         accepting.abort();
@@ -117,7 +122,7 @@
         clients.drain().await;
     });
     if timeout_at(shutdown_deadline, gone.as_mut()).await.is_err() {
-        clients.expire_shutdown_deadline();
+        lifecycle.expire_shutdown_deadline();
         // What still passes through to a client is not cut off; the platform ends the process in time.
         let _ = timeout(TRANSFERS_MOST, gone).await;
     }
--- /dev/null
+++ b/src/node/protocol/mod.rs
@@ -0,0 +1,4 @@
+//! What the protocol's pages define: names of headers and the form of endpoint lists. Imports nothing of the node.
+
+pub mod endpoint_list;
+pub mod headers;
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -15,7 +15,7 @@
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::ext::on_informational;
-use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
+use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
@@ -30,13 +30,9 @@
 };
 use crate::config::Config;
 use crate::net::{ConnectionPermit, ConnectionPermits, UpstreamIo, UpstreamSocket};
+use crate::protocol::headers::{DEADLINE, DECLINED, drop_hop_headers};
 use crate::upstream::idle_policy::{IdleTimeoutPolicy, StaleConnectionEstimator};
 
-/// The headers of the protocol that the node reads or writes itself.
-pub const ID: HeaderName = HeaderName::from_static("req-id");
-pub const KEY: HeaderName = HeaderName::from_static("idempotency-key");
-pub const DEADLINE: HeaderName = HeaderName::from_static("req-deadline");
-const DECLINED: HeaderName = HeaderName::from_static("srv-declined");
 /// An idle connection is retired after this part of the time for which servers keep it.
 const IDLE_PART: f64 = 0.7;
 /// How long an idle connection rests before it is used again: what a server sends behind an answer may come some
@@ -644,30 +640,3 @@
     const EMFILE: i32 = 24;
     matches!(error.raw_os_error(), Some(ENFILE | EMFILE))
 }
-
-/// Removes what is about one connection and not about the message.
-pub fn drop_hop_headers(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
-        .get_all(header::CONNECTION)
-        .iter()
-        .filter_map(|value| value.to_str().ok())
-        .flat_map(|value| value.split(','))
-        .filter_map(|name| name.trim().parse().ok())
-        // Without its key a keyed request would run twice, whatever a client says of its connection.
-        .filter(|name| *name != ID && *name != KEY)
-        .collect();
-    let fixed = [
-        header::CONNECTION,
-        header::CONTENT_LENGTH,
-        header::EXPECT,
-        header::TE,
-        header::TRAILER,
-        header::TRANSFER_ENCODING,
-        header::UPGRADE,
-        HeaderName::from_static("keep-alive"),
-        HeaderName::from_static("proxy-connection"),
-    ];
-    named.iter().chain(&fixed).for_each(|name| {
-        headers.remove(name);
-    });
-}
--- a/src/simulator/main.rs
+++ b/src/simulator/main.rs
@@ -75,6 +75,7 @@
     Ok(())
 }
 
+#[expect(clippy::print_stderr, reason = "this program has no log; why it ends is told here")]
 fn main() -> ExitCode {
     match serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -520,7 +520,7 @@
 #[test]
 fn what_must_not_run_twice_avoids_kept_connections_once_some_broke() {
     // Kept connections break under their next request; new ones are fine.
-    let met = std::sync::Mutex::new(HashSet::new());
+    let met = Mutex::new(HashSet::new());
     let server = Server::on(move |connection, _| match met.lock().unwrap().insert(connection) {
         true => ok("paid"),
         false => Act::SayAndClose(Vec::new()),
@@ -539,7 +539,7 @@
 #[test]
 fn connections_that_break_after_a_rest_are_used_until_then() {
     let forgets = Duration::from_millis(500);
-    let last = std::sync::Mutex::new(HashMap::new());
+    let last = Mutex::new(HashMap::new());
     let server = Server::on(move |connection, _| {
         let before: Option<Instant> = last.lock().unwrap().insert(connection, Instant::now());
         match before.is_some_and(|at| at.elapsed() > forgets) {
@@ -608,7 +608,7 @@
     watch.changes(58, &[target("a", one.address, 1, "draining"), ready("b", &two)]);
     while node.client().ask(&view()).status() != 200 {}
     // The first request is still open: it has lost neither its server nor its client.
-    let elsewhere = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
     node.reconfigure(&node.config_with(&elsewhere));
     let mut moved = Watch::accept(&elsewhere);
     assert_eq!(moved.request.first, "GET /catalog/members?watch=1&from=58 HTTP/1.1");
@@ -671,7 +671,7 @@
     // More than the one server has room for: the others are held, and never sent.
     let mut clients: Vec<Client> = (0..8).map(|_| node.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&request("GET", "/view/1", "6", "", "")));
-    let answers: Vec<Message> = clients.iter_mut().map(|client| client.answer()).collect();
+    let answers: Vec<Message> = clients.iter_mut().map(Client::answer).collect();
     let told = answers.iter().filter(|a| a.header("retry-after") == Some("2.000")).count();
     assert!(told > 0 && answers.iter().all(|a| a.status() == 503), "{answers:?}");
 }
--- a/tests/node/operating.rs
+++ b/tests/node/operating.rs
@@ -92,7 +92,7 @@
         assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
     }
     assert!(node.descriptors() <= 64, "{} descriptors", node.descriptors());
-    assert!(stalled.iter_mut().all(|caller| caller.reader_ends()), "they are not waited for");
+    assert!(stalled.iter_mut().all(Client::reader_ends), "they are not waited for");
     assert_eq!(shown(&node)["phase"], "serving");
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -85,7 +85,7 @@
         }
         let node = Node { balancer: Balancer::new(settings.clone(), seed).unwrap(), now: 50 * S, next: 0 };
         let mut world = World {
-            settings: settings.clone(),
+            settings,
             node,
             dice,
             told: BTreeMap::new(),
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -521,7 +521,7 @@
             match action {
                 Action::Send { request, .. } => out.push((node.now + 50 * MS, request)),
                 Action::SetTimer { token, .. } if token > node.next => {
-                    drop(node.tell(Event::TimerFired(token)))
+                    drop(node.tell(Event::TimerFired(token)));
                 }
                 _ => {}
             }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -249,7 +249,7 @@
 
 #[test]
 fn what_is_stated_of_weights_and_cold_servers_is_read() {
-    let read = |text: &str| mothspool::simulator::codec::parse_settings(text.as_bytes()).unwrap();
+    let read = |text: &str| parse_settings(text.as_bytes()).unwrap();
     let stated = read("weights=live\nobligations.fall_multiple=2.5\n");
     assert!(stated.load_dependent_weights && stated.overload_multiple == 2.5);
     let silent = read("weights=nominal\n");
