--- a/src/node/body/mod.rs
+++ b/src/node/body/mod.rs
@@ -10,7 +10,6 @@
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt as _;
-use hyper::StatusCode;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use tokio::sync::watch;
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
@@ -33,14 +32,22 @@
 /// but the next in line.
 const GOES_ON_WITHIN: Duration = Duration::from_secs(10);
 
-/// What is wrong with a request, and is its client's to mend.
-pub type RequestError = (StatusCode, &'static str);
-
-pub const TOO_LARGE: RequestError = (StatusCode::PAYLOAD_TOO_LARGE, "the body is over 32 MiB");
-const TOO_SLOW: RequestError = (StatusCode::REQUEST_TIMEOUT, "the body did not come in time");
-/// What nobody is there to hear.
-pub const LEFT: RequestError = (StatusCode::BAD_REQUEST, "the client has left");
-const BROKEN: RequestError = (StatusCode::BAD_REQUEST, "the body is broken");
+/// Why a client's body could not be received.
+#[derive(Clone, Copy, Debug, thiserror::Error)]
+pub enum BodyError {
+    /// It is longer than [`MAX_BODY_BYTES`].
+    #[error("the body is over {} MiB", MAX_BODY_BYTES >> 20)]
+    TooLarge,
+    /// The client sends it more slowly than it has to.
+    #[error("the body did not come in time")]
+    TooSlow,
+    /// The client has closed its connection: nobody reads this.
+    #[error("the client has disconnected")]
+    ClientDisconnected,
+    /// The connection broke off within the body, or the body's framing is invalid.
+    #[error("the body is broken")]
+    Broken,
+}
 
 /// Room for what is held whole, of all requests and answers.
 pub struct BufferBudget {
@@ -165,7 +172,7 @@
     }
 
     /// The next piece, or nothing at the end. Trailers are about the message, not the request.
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, RequestError>> {
+    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, BodyError>> {
         self.due += self.unpolled.take().map_or(Duration::ZERO, |since| since.elapsed());
         loop {
             match Pin::new(&mut self.body).poll_frame(cx) {
@@ -173,7 +180,7 @@
                     let Ok(data) = frame.into_data() else { continue };
                     self.came += data.len() as u64;
                     if self.came > MAX_BODY_BYTES {
-                        return Poll::Ready(Err(TOO_LARGE));
+                        return Poll::Ready(Err(BodyError::TooLarge));
                     }
                     let now = Instant::now();
                     let earned = Duration::from_secs_f64(data.len() as f64 / SLOWEST);
@@ -181,14 +188,14 @@
                     self.unpolled = Some(now);
                     return Poll::Ready(Ok(Some(data)));
                 }
-                Poll::Ready(Some(Err(_))) => return Poll::Ready(Err(BROKEN)),
+                Poll::Ready(Some(Err(_))) => return Poll::Ready(Err(BodyError::Broken)),
                 Poll::Ready(None) => return Poll::Ready(Ok(None)),
                 Poll::Pending => {
                     if self.timer.deadline() != self.due {
                         self.timer.as_mut().reset(self.due);
                     }
                     ready!(self.timer.as_mut().poll(cx));
-                    return Poll::Ready(Err(TOO_SLOW));
+                    return Poll::Ready(Err(BodyError::TooSlow));
                 }
             }
         }
@@ -205,7 +212,7 @@
     /// Its last byte came at this time.
     Complete(Instant),
     /// Its client has not brought it.
-    Failed(RequestError),
+    Failed(BodyError),
 }
 
 type ProgressListener = Box<dyn Fn(UploadProgress)>;
@@ -232,7 +239,7 @@
     }
 
     /// What the client has done wrong, once it has.
-    pub async fn failed(&self) -> RequestError {
+    pub async fn failed(&self) -> BodyError {
         let mut progress = self.progress.subscribe();
         loop {
             if let UploadProgress::Failed(wrong) = *progress.borrow_and_update() {
@@ -260,7 +267,7 @@
         }
     }
 
-    fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, RequestError>>> {
+    fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         match self.progress() {
             UploadProgress::Buffered => self.gets_on(UploadProgress::Forwarding),
             UploadProgress::Forwarding => {}
@@ -278,7 +285,8 @@
             Err(_) => false,
         };
         // A client's end is behind what it has sent, and may show only now. Without its last byte nothing is run.
-        let polled = if ends && self.seen.is_peer_closed() { Err(LEFT) } else { polled };
+        let polled =
+            if ends && self.seen.is_peer_closed() { Err(BodyError::ClientDisconnected) } else { polled };
         match polled {
             Ok(data) => {
                 if ends {
@@ -313,10 +321,10 @@
         due: Instant,
         room: &Rc<BufferBudget>,
         seen: &Rc<SocketObserver>,
-    ) -> Result<RequestBody, RequestError> {
+    ) -> Result<RequestBody, BodyError> {
         let length = body.size_hint().exact();
         if body.size_hint().lower() > MAX_BODY_BYTES {
-            return Err(TOO_LARGE);
+            return Err(BodyError::TooLarge);
         }
         if length == Some(0) {
             seen.request_completed(length);
@@ -404,7 +412,7 @@
             OutboundBody::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
             OutboundBody::Streamed(stream) => {
                 let piece = ready!(stream.poll(cx));
-                Poll::Ready(piece.map(|data| data.map(Frame::data).map_err(|(_, why)| io::Error::other(why))))
+                Poll::Ready(piece.map(|data| data.map(Frame::data).map_err(io::Error::other)))
             }
         }
     }
--- /dev/null
+++ b/src/node/downstream/request.rs
@@ -0,0 +1,180 @@
+//! Parsing and validation of a request's head into typed values.
+
+use std::cell::Cell;
+use std::time::Duration;
+
+use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
+use hyper::http::request::Parts;
+use hyper::http::uri::PathAndQuery;
+use hyper::{Method, Uri};
+use mothspool::{Idempotency, RequestId};
+use tokio::time::Instant;
+
+use crate::body::RequestBody;
+use crate::config::{ClassRule, Config, MAX_DEADLINE};
+use crate::downstream::error::RequestError;
+use crate::downstream::request_ids::MAX_REQUEST_ID_BYTES;
+use crate::net::SocketObserver;
+use crate::protocol::headers::{COST, DEADLINE, ID, KEY, OWNER, drop_hop_headers};
+use crate::upstream::UpstreamRequest;
+
+/// A deadline counts from the client's sending. This much of it has passed when the request is read, and passes again
+/// before the response has arrived.
+const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(3);
+/// The host that endpoints are given where a client names none.
+const DEFAULT_HOST: HeaderValue = HeaderValue::from_static("origin.svc");
+
+/// A request's head, validated.
+pub struct RequestHead {
+    method: Method,
+    uri: Uri,
+    headers: HeaderMap,
+    class: ClassRule,
+    client_request_id: Box<str>,
+    /// How long the client waits, from its last byte on.
+    timeout: Duration,
+    /// The tenant's index in the settings, if the request names one of them.
+    tenant: Option<u32>,
+}
+
+impl RequestHead {
+    /// Parses and validates a head. `has_body` tells whether a body follows.
+    pub fn parse(parts: Parts, has_body: bool, config: &Config) -> Result<RequestHead, RequestError> {
+        let Parts { method, uri, headers, .. } = parts;
+        let class = class_of(&uri, config).ok_or(RequestError::UnknownClass)?;
+        let client_request_id = parse_request_id(&headers)?.into();
+        let deadline = single_value(&headers, &DEADLINE).and_then(parse_seconds);
+        let deadline = deadline.ok_or(RequestError::InvalidDeadline)?;
+        check_method(&class, &method, &headers)?;
+        if method == Method::GET && has_body {
+            return Err(RequestError::UnexpectedBody);
+        }
+        // No client waits longer than its class allows. This bounds all work that is done for it, too.
+        let max_deadline = Duration::from_micros(class.deadline_us);
+        let timeout = deadline.min(max_deadline).saturating_sub(TRANSIT_ALLOWANCE);
+        let tenant = single_value(&headers, &OWNER).and_then(|name| config.tenants.get(name)).copied();
+        Ok(RequestHead { method, uri, headers, class, client_request_id, timeout, tenant })
+    }
+
+    /// The `Req-Id`.
+    pub fn client_request_id(&self) -> &str {
+        &self.client_request_id
+    }
+
+    /// The request as the balancer sees it.
+    pub fn balancer_request(&self, id: RequestId) -> mothspool::Request {
+        mothspool::Request {
+            id,
+            class: self.class.index,
+            remaining: self.timeout.as_micros() as u64,
+            expected_work: self.expected_work(),
+            key: self.key(),
+            tenant: self.tenant,
+        }
+    }
+
+    /// The client's estimate of the work, in microseconds.
+    fn expected_work(&self) -> Option<u64> {
+        let micros: f64 = single_value(&self.headers, &COST)?.parse().ok()?;
+        (micros > 0.0).then_some(micros as u64)
+    }
+
+    /// A hash of what the request concerns: the last part of a path that has more than the class.
+    fn key(&self) -> Option<u64> {
+        let part = self.uri.path().split('/').skip(2).last().filter(|part| !part.is_empty())?;
+        Some(xxhash_rust::xxh3::xxh3_64(part.as_bytes()))
+    }
+
+    /// The request as it is sent to endpoints. `received_at` is when the last byte of a buffered body was received.
+    pub fn into_upstream_request(self, upload: RequestBody, received_at: Instant) -> UpstreamRequest {
+        let target = self.uri.path_and_query().cloned().unwrap_or(PathAndQuery::from_static("/"));
+        let mut headers = self.headers;
+        drop_hop_headers(&mut headers);
+        headers.remove(DEADLINE);
+        if let Some(length) = upload.length().filter(|_| self.method == Method::POST) {
+            headers.insert(header::CONTENT_LENGTH, HeaderValue::from(length));
+        }
+        headers.entry(header::HOST).or_insert(DEFAULT_HOST);
+        UpstreamRequest {
+            method: self.method,
+            target,
+            headers,
+            upload,
+            timeout: self.timeout,
+            came: received_at,
+            non_idempotent: self.class.idempotency == Idempotency::NonIdempotent,
+            begin_by: Cell::new(None),
+            left: Cell::new(false),
+        }
+    }
+}
+
+/// Rejects a request whose end depends on who reads it.
+pub fn check_framing(headers: &HeaderMap, observer: &SocketObserver) -> Result<(), RequestError> {
+    match is_chunked(headers) && observer.may_have_content_length() {
+        true => Err(RequestError::AmbiguousFraming),
+        false => Ok(()),
+    }
+}
+
+/// Whether a request's body ends with its last chunk.
+pub fn is_chunked(headers: &HeaderMap) -> bool {
+    headers.contains_key(header::TRANSFER_ENCODING)
+}
+
+/// The class that the first part of the path names.
+fn class_of(uri: &Uri, config: &Config) -> Option<ClassRule> {
+    let name = uri.path().split('/').nth(1)?;
+    config.classes.get(name).copied()
+}
+
+fn parse_request_id(headers: &HeaderMap) -> Result<&str, RequestError> {
+    let id = single_value(headers, &ID).ok_or(RequestError::MissingRequestId)?;
+    let is_valid = (1..=MAX_REQUEST_ID_BYTES).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic());
+    match is_valid {
+        true => Ok(id),
+        false => Err(RequestError::InvalidRequestId { length: id.len() }),
+    }
+}
+
+/// The value of a header that is there exactly once, if it is text.
+fn single_value<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+    let mut values = headers.get_all(name).iter();
+    let value = values.next()?;
+    if values.next().is_some() {
+        return None;
+    }
+    value.to_str().ok()
+}
+
+/// A time in seconds, with decimals. One below 0 has passed; one beyond [`MAX_DEADLINE`] is invalid.
+fn parse_seconds(text: &str) -> Option<Duration> {
+    let is_decimal = text.bytes().all(|b| b.is_ascii_digit() || b == b'.' || b == b'-' || b == b'+');
+    if !is_decimal {
+        return None;
+    }
+    let seconds: f64 = text.parse().ok()?;
+    Duration::try_from_secs_f64(seconds.max(0.0)).ok().filter(|time| *time <= MAX_DEADLINE)
+}
+
+/// The class decides the method, and whether there is an `Idempotency-Key`.
+fn check_method(class: &ClassRule, method: &Method, headers: &HeaderMap) -> Result<(), RequestError> {
+    let expected = match class.idempotency {
+        Idempotency::Idempotent => Method::GET,
+        Idempotency::IdempotentWithKey { .. } | Idempotency::NonIdempotent => Method::POST,
+    };
+    if *method != expected {
+        return Err(RequestError::WrongMethod { expected });
+    }
+    match class.idempotency {
+        Idempotency::IdempotentWithKey { .. } if single_value(headers, &KEY).is_none_or(str::is_empty) => {
+            Err(RequestError::MissingIdempotencyKey)
+        }
+        Idempotency::NonIdempotent if headers.contains_key(KEY) => {
+            Err(RequestError::UnexpectedIdempotencyKey)
+        }
+        Idempotency::Idempotent | Idempotency::IdempotentWithKey { .. } | Idempotency::NonIdempotent => {
+            Ok(())
+        }
+    }
+}
--- /dev/null
+++ b/src/node/downstream/request_ids.rs
@@ -0,0 +1,33 @@
+//! The ids of all open requests: no two of them may be the same.
+
+use std::cell::RefCell;
+use std::collections::HashSet;
+
+/// The longest `Req-Id`, in bytes.
+pub const MAX_REQUEST_ID_BYTES: usize = 128;
+
+/// The `Req-Id` of each open request. Endpoints and logs tell requests apart by them.
+#[derive(Default)]
+pub struct OpenRequestIds {
+    ids: RefCell<HashSet<Box<str>>>,
+}
+
+impl OpenRequestIds {
+    /// Claims an id until the returned claim is dropped; `None` if an open request has it.
+    pub fn claim(&self, id: &str) -> Option<ClaimedRequestId<'_>> {
+        let is_new = self.ids.borrow_mut().insert(id.into());
+        is_new.then(|| ClaimedRequestId { id: id.into(), open: self })
+    }
+}
+
+/// The id of an open request, free again once the request is answered or its client has disconnected.
+pub struct ClaimedRequestId<'a> {
+    id: Box<str>,
+    open: &'a OpenRequestIds,
+}
+
+impl Drop for ClaimedRequestId<'_> {
+    fn drop(&mut self) {
+        self.open.ids.borrow_mut().remove(&self.id);
+    }
+}
--- /dev/null
+++ b/src/node/downstream/server.rs
@@ -0,0 +1,112 @@
+//! The downstream side of the node as the life cycle and the admin API see it.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::time::sleep;
+
+use crate::body::BufferBudget;
+use crate::config::Config;
+use crate::downstream::connection::REQUEST_TIMEOUT;
+use crate::downstream::connections::{ConnectionLimits, ConnectionTable};
+use crate::downstream::handler::RequestHandler;
+use crate::downstream::service::ConnectionService;
+use crate::engine::EngineHandle;
+use crate::lifecycle::Lifecycle;
+use crate::upstream::UpstreamPool;
+
+/// One in this many descriptors is set aside for connections to endpoints.
+const UPSTREAM_DIVISOR: usize = 3;
+/// How often connections are checked for those that are idle for too long or stuck.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
+/// How often connections are checked while all of them have to close.
+const DRAIN_INTERVAL: Duration = Duration::from_millis(20);
+/// How often connections are checked in standby.
+const STANDBY_SWEEP_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a connection may be idle in standby: its client may use it until then.
+const STANDBY_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Accepts clients' connections and serves their requests.
+pub struct DownstreamServer {
+    config: Rc<Config>,
+    upstream: Rc<UpstreamPool>,
+    lifecycle: Rc<Lifecycle>,
+    connections: Rc<ConnectionTable>,
+    service: Rc<ConnectionService>,
+}
+
+impl DownstreamServer {
+    /// A server without connections, which hands requests to `engine`.
+    pub fn new(
+        config: Rc<Config>,
+        engine: EngineHandle,
+        upstream: Rc<UpstreamPool>,
+        lifecycle: Rc<Lifecycle>,
+        buffer_budget: Rc<BufferBudget>,
+    ) -> DownstreamServer {
+        let limits = ConnectionLimits::new(config.sockets, upstream.max_connections());
+        let connections = Rc::new(ConnectionTable::new(limits));
+        let handler = RequestHandler::new(
+            config.clone(),
+            engine,
+            lifecycle.clone(),
+            connections.clone(),
+            buffer_budget,
+        );
+        let service = ConnectionService::new(handler, connections.clone(), lifecycle.clone(), config.buffer);
+        DownstreamServer { config, upstream, lifecycle, connections, service: Rc::new(service) }
+    }
+
+    pub(super) fn connections(&self) -> &Rc<ConnectionTable> {
+        &self.connections
+    }
+
+    pub(super) fn upstream(&self) -> &UpstreamPool {
+        &self.upstream
+    }
+
+    pub(super) fn service(&self) -> &Rc<ConnectionService> {
+        &self.service
+    }
+
+    /// Goes by half of the node's descriptors while another process of the node runs, by all of them otherwise.
+    pub fn share_descriptors(&self, shared: bool) {
+        let descriptors = if shared { self.config.shared_sockets } else { self.config.sockets };
+        self.upstream.set_max_connections(descriptors / UPSTREAM_DIVISOR);
+        self.connections.set_limits(ConnectionLimits::new(descriptors, self.upstream.max_connections()));
+    }
+
+    /// Whether there are more connections than allowed, those that are closing included.
+    pub fn exceeds_limit(&self) -> bool {
+        self.connections.exceeds_limit()
+    }
+
+    /// Closes connections while the node is in standby, each once it has been idle for a while. Those in use close
+    /// with their responses.
+    pub async fn run_standby_drain(&self) {
+        loop {
+            self.lifecycle.standby().await;
+            sleep(STANDBY_SWEEP_INTERVAL).await;
+            if self.lifecycle.is_standby() {
+                self.connections.close_idle(STANDBY_IDLE_TIMEOUT);
+            }
+        }
+    }
+
+    /// Closes connections that have been idle for too long, and cuts off those that are stuck.
+    pub async fn run_idle_sweep(&self) {
+        loop {
+            sleep(SWEEP_INTERVAL).await;
+            self.connections.close_idle(REQUEST_TIMEOUT);
+            self.connections.cut_stuck();
+        }
+    }
+
+    /// Closes connections as soon as they have no request open, and waits until there are none.
+    pub async fn drain(&self) {
+        while !self.connections.is_empty() {
+            self.connections.close_idle(Duration::ZERO);
+            self.connections.wait_for_removal(DRAIN_INTERVAL).await;
+        }
+    }
+}
--- /dev/null
+++ b/src/node/downstream/service.rs
@@ -0,0 +1,100 @@
+//! Driving one connection: hyper's side of it, and closing it in time.
+
+use std::convert::Infallible;
+use std::pin::pin;
+use std::rc::Rc;
+
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response};
+use hyper_util::rt::TokioIo;
+
+use crate::body::ResponseBody;
+use crate::downstream::connection::Connection;
+use crate::downstream::connections::ConnectionTable;
+use crate::downstream::handler::{AfterResponse, RequestHandler};
+use crate::downstream::responses::closing;
+use crate::lifecycle::Lifecycle;
+use crate::net::DownstreamSocket;
+
+/// Serves requests on connections.
+pub struct ConnectionService {
+    handler: RequestHandler,
+    connections: Rc<ConnectionTable>,
+    lifecycle: Rc<Lifecycle>,
+    /// How many bytes a connection may buffer.
+    buffer_size: usize,
+}
+
+impl ConnectionService {
+    /// A service that has `handler` answer, on connections that buffer `buffer_size` bytes in each direction.
+    pub fn new(
+        handler: RequestHandler,
+        connections: Rc<ConnectionTable>,
+        lifecycle: Rc<Lifecycle>,
+        buffer_size: usize,
+    ) -> ConnectionService {
+        ConnectionService { handler, connections, lifecycle, buffer_size }
+    }
+
+    /// Serves a connection to its end.
+    pub async fn serve(self: &Rc<Self>, connection: &Rc<Connection>, socket: DownstreamSocket) {
+        let service = service_fn(|request| {
+            let (service, connection) = (self.clone(), connection.clone());
+            async move { Ok::<_, Infallible>(service.respond(request, &connection).await) }
+        });
+        let mut builder = http1::Builder::new();
+        // hyper would time a head from the last response on. The sweep times it from its first byte.
+        builder.header_read_timeout(None).max_buf_size(self.buffer_size);
+        let mut serving = pin!(builder.serve_connection(TokioIo::new(socket), service));
+        loop {
+            tokio::select! {
+                // What can be read is read before the connection is closed: it may be the request, or the end of
+                // one, that had not arrived when the close was requested.
+                biased;
+                _ = serving.as_mut() => return,
+                () = connection.cut_requested() => {
+                    if connection.is_stuck() {
+                        return;
+                    }
+                }
+                () = connection.close_requested() => {
+                    if connection.has_incoming_request() {
+                        self.connections.cancel_close(connection);
+                    } else {
+                        serving.as_mut().graceful_shutdown();
+                    }
+                }
+            }
+        }
+    }
+
+    /// The response to one request. The request counts as open until hyper has taken the last of it.
+    async fn respond(
+        &self,
+        request: Request<Incoming>,
+        connection: &Rc<Connection>,
+    ) -> Response<ResponseBody> {
+        let body_due = connection.request_due();
+        let guard = self.connections.start_request(connection);
+        let reply = self.handler.reply(request, connection.observer(), body_due).await;
+        connection.request_answered();
+        let response = match reply.then {
+            AfterResponse::KeepAlive if !self.must_close(connection) => reply.response,
+            AfterResponse::KeepAlive | AfterResponse::Close => closing(reply.response),
+            AfterResponse::LingeringClose => {
+                connection.observer().linger();
+                closing(reply.response)
+            }
+        };
+        response.map(|body| body.until_taken(guard))
+    }
+
+    /// Whether a connection has to close with its response, whatever the request was.
+    fn must_close(&self, connection: &Connection) -> bool {
+        self.connections.exceeds_keep_alive_limit()
+            || connection.is_closing()
+            || !self.lifecycle.keeps_connections()
+    }
+}
--- /dev/null
+++ b/tests/unit/downstream.rs
@@ -0,0 +1,100 @@
+//! Unit tests of downstream connections: requests that cross a close or a cut.
+
+use std::io::{Read, Write};
+use std::net::TcpStream as BlockingStream;
+use std::rc::Rc;
+
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::{LocalSet, spawn_local, yield_now};
+
+use super::DownstreamServer;
+use super::connection::Connection;
+use crate::body::BufferBudget;
+use crate::config::Config;
+use crate::engine::EngineHandle;
+use crate::lifecycle::Lifecycle;
+use crate::upstream::UpstreamPool;
+
+const HEALTH_CHECK: &[u8] = b"GET /_health HTTP/1.1\r\nHost: n\r\n\r\n";
+/// How many bytes of the health check are sent when the connection is about to end.
+const FIRST_BYTES: usize = 9;
+
+fn server() -> DownstreamServer {
+    let class = r#"{"name":"view","idempotency":"pure","goal_time_us":100000,"deadline_us":1000000}"#;
+    let text = format!(
+        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{{"services":[{class}]}}}}"#
+    );
+    // Tests run beside each other, each on a thread of its own.
+    let (process, thread) = (std::process::id(), std::thread::current().id());
+    let path = std::env::temp_dir().join(format!("mothspool-downstream-{process}-{thread:?}.json"));
+    std::fs::write(&path, text).unwrap();
+    let config = Rc::new(Config::read(path.to_str().unwrap()).unwrap());
+    std::fs::remove_file(path).unwrap();
+    let buffer_budget = BufferBudget::new(config.memory);
+    let upstream = Rc::new(UpstreamPool::new(&config, buffer_budget.clone()));
+    let (engine, _) = EngineHandle::new(1, upstream.clone());
+    let lifecycle = Rc::new(Lifecycle::new(upstream.clone()));
+    DownstreamServer::new(config, engine, upstream, lifecycle, buffer_budget)
+}
+
+/// A client whose connection was kept alive and is idle, and that connection.
+async fn idle_connection(server: &DownstreamServer) -> (BlockingStream, Rc<Connection>) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let mut client = BlockingStream::connect(listener.local_addr().unwrap()).unwrap();
+    let connection = server.serve(listener.accept().await.unwrap().0);
+    client.write_all(HEALTH_CHECK).unwrap();
+    while connection.is_first_request_pending() || connection.closable_since().is_none() {
+        yield_now().await;
+    }
+    assert!(client.read(&mut [0; 1024]).unwrap() > 0);
+    (client, connection)
+}
+
+/// What a client receives whose connection `end` asks to end while the client's request is on its way: the kernel is
+/// polled before the connection's task runs, as happens under load.
+fn response_when_ended(end: impl FnOnce(&DownstreamServer, &Connection)) -> String {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    LocalSet::new().block_on(&runtime, async {
+        let server = server();
+        let (mut client, connection) = idle_connection(&server).await;
+        // More tasks than run between two polls of the kernel.
+        (0..200).for_each(|_| drop(spawn_local(async {})));
+        end(&server, &connection);
+        client.write_all(&HEALTH_CHECK[..FIRST_BYTES]).unwrap();
+        while !connection.observer().has_request_started() && !server.connections().is_empty() {
+            yield_now().await;
+        }
+        let _ = client.write_all(&HEALTH_CHECK[FIRST_BYTES..]);
+        // The socket is closed by its last owner.
+        drop(connection);
+        client.set_nonblocking(true).unwrap();
+        read_some(TcpStream::from_std(client).unwrap()).await
+    })
+}
+
+/// The first bytes that a client reads; none where its connection was closed or reset.
+async fn read_some(client: TcpStream) -> String {
+    let mut response = vec![0; 1024];
+    let length = loop {
+        client.readable().await.unwrap();
+        match client.try_read(&mut response) {
+            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
+            read => break read.unwrap_or(0),
+        }
+    };
+    response.truncate(length);
+    String::from_utf8(response).unwrap()
+}
+
+#[test]
+fn a_request_that_begins_as_its_connection_is_asked_to_close_is_answered() {
+    let response = response_when_ended(|server, connection| server.connections().close(connection));
+    assert!(response.starts_with("HTTP/1.1 "), "{response:?}");
+}
+
+/// As when the rest of a slow head arrives between the sweep that found it late and the cut.
+#[test]
+fn a_connection_that_is_no_longer_stuck_is_not_cut_off() {
+    let response = response_when_ended(|_, connection| connection.request_cut());
+    assert!(response.starts_with("HTTP/1.1 "), "{response:?}");
+}
