--- a/src/node/downstream/responses.rs
+++ b/src/node/downstream/responses.rs
@@ -11,7 +11,7 @@
 
 /// A response of a status and a text.
 pub fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::whole(text.into(), None));
+    let mut response = Response::new(ResponseBody::buffered(text.into(), None));
     *response.status_mut() = status;
     response
 }
--- a/src/node/downstream/service.rs
+++ b/src/node/downstream/service.rs
@@ -88,7 +88,7 @@
                 closing(reply.response)
             }
         };
-        response.map(|body| body.until_taken(guard))
+        response.map(|body| body.with_guard(guard))
     }
 
     /// Whether a connection has to close with its response, whatever the request was.
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -25,7 +25,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::body::{
-    BufferBudget, BufferedPrefix, OutboundBody, RequestBody, ResponseBody, ResponsePrefix,
+    BufferBudget, BufferedPrefix, IncomingBody, OutboundBody, RequestBody, ResponseBody, ResponsePrefix,
     StreamingResponseBody, TransferEnd, UploadProgress,
 };
 use crate::config::Config;
@@ -99,7 +99,7 @@
             }
             if let RequestBody::Streamed(stream) = &self.upload
                 && matches!(stream.progress(), UploadProgress::Forwarding)
-                && stream.unpolled() >= self.timeout.max(UPLOAD_GOES_ON_WITHIN)
+                && stream.unpolled_for() >= self.timeout.max(UPLOAD_GOES_ON_WITHIN)
             {
                 return;
             }
@@ -208,7 +208,7 @@
 /// The rest of an answer that has begun.
 pub struct StreamingResponse {
     first: BufferedPrefix,
-    rest: Incoming,
+    rest: IncomingBody,
     servers: Rc<UpstreamPool>,
     server: EndpointId,
     connection: Connection,
@@ -220,7 +220,7 @@
     /// What the client is given. `told` hears how it ended.
     pub fn reply(self, told: impl FnOnce(Outcome) + 'static) -> ResponseBody {
         let StreamingResponse { first, rest, servers, server, connection, stays } = self;
-        ResponseBody::part(StreamingResponseBody::new(first, rest, move |end| match end {
+        ResponseBody::streaming(StreamingResponseBody::new(first, rest, move |end| match end {
             TransferEnd::Complete => {
                 if stays {
                     tokio::task::spawn_local(async move { servers.keep(server, connection).await });
@@ -228,7 +228,7 @@
                 told(Outcome::Served);
             }
             TransferEnd::Broken => told(Outcome::Reset),
-            TransferEnd::ClientLeft => told(Outcome::Cancelled),
+            TransferEnd::ClientDisconnected => told(Outcome::Cancelled),
         }))
     }
 }
@@ -553,7 +553,7 @@
     ) -> Result<AttemptOutcome, Outcome> {
         let (mut parts, body) = response.into_parts();
         let framing = Framing::of(&parts.headers).ok_or(Outcome::Reset)?;
-        let beginning = ResponsePrefix::read(body, &self.room).await.ok_or(Outcome::Reset)?;
+        let beginning = ResponsePrefix::read(body, &self.room).await.map_err(|_| Outcome::Reset)?;
         let declined = parts.headers.get(DECLINED).is_some_and(|v| v.as_bytes() == b"1");
         let (stays, servers) = (framing == Framing::Stated, self.clone());
         if parts.status == StatusCode::OK {
@@ -571,7 +571,7 @@
                 if status == StatusCode::OK {
                     return Ok(AttemptOutcome::Served(Response::from_parts(
                         parts,
-                        ResponseBody::whole(bytes, held),
+                        ResponseBody::buffered(bytes, held),
                     )));
                 }
             }
--- /dev/null
+++ b/tests/unit/body_buffer.rs
@@ -0,0 +1,25 @@
+//! Unit tests of buffers for bodies: they keep to their reservation.
+
+use super::*;
+
+#[test]
+fn a_buffer_takes_no_more_than_its_reservation_and_releases_the_rest() {
+    for (piece, length) in [(1, None), (5_000, None), (8 << 10, None), (20_000, Some(50_000)), (7, Some(7))] {
+        let total = 1 << 20;
+        let budget = Rc::new(BufferBudget { available: Cell::new(total) });
+        let size = length.map_or_else(SizeHint::new, SizeHint::with_exact);
+        let reserved = length.map_or(MAX_BUFFERED_BODY_BYTES, |length| length as usize);
+        let mut buffer = BodyBuffer::new(budget.reserve(&size).unwrap());
+        while buffer.push(Bytes::from(vec![0; piece])).is_ok() {
+            let capacity = buffer.bytes.capacity();
+            assert!(capacity <= reserved, "{capacity} of {reserved}");
+        }
+        assert!(buffer.bytes.len() + piece > reserved);
+        let capacity = buffer.bytes.capacity();
+        let (bytes, reservation) = buffer.freeze();
+        assert_eq!(budget.available.get(), total - capacity);
+        assert!(bytes.len() <= capacity && capacity <= (2 * bytes.len()).min(reserved));
+        drop(reservation);
+        assert_eq!(budget.available.get(), total);
+    }
+}
