--- a/src/node/body/error.rs
+++ b/src/node/body/error.rs
@@ -9,7 +9,7 @@
     #[error("the body is over {} MiB", MAX_BODY_BYTES >> 20)]
     TooLarge,
     /// The client sends it more slowly than it has to.
-    #[error("the body did not come in time")]
+    #[error("the body was not received in time")]
     TooSlow,
     /// The client has closed its connection: nobody reads this.
     #[error("the client has disconnected")]
--- a/src/node/downstream/exchange.rs
+++ b/src/node/downstream/exchange.rs
@@ -17,7 +17,9 @@
 
 /// A valid request whose body is buffered, or begins to pass through.
 pub struct AcceptedRequest<'a> {
+    /// As the balancer sees it.
     pub request: mothspool::Request,
+    /// As endpoints are sent it.
     pub upstream_request: Rc<UpstreamRequest>,
     /// Its `Req-Id` stays claimed as long as the request is open.
     pub claimed_id: ClaimedRequestId<'a>,
--- a/src/node/downstream/handler.rs
+++ b/src/node/downstream/handler.rs
@@ -20,7 +20,7 @@
 use crate::lifecycle::Lifecycle;
 use crate::net::SocketObserver;
 
-/// How long a client should wait that the node had no connection left to serve.
+/// The `Retry-After` of a rejection because too many requests are open.
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A response, and what has to become of its connection.
@@ -47,7 +47,7 @@
     }
 }
 
-/// Answers requests, those of all connections.
+/// Answers the requests of all connections.
 pub struct RequestHandler {
     config: Rc<Config>,
     engine: EngineHandle,
--- a/src/node/downstream/health.rs
+++ b/src/node/downstream/health.rs
@@ -6,7 +6,7 @@
 use crate::downstream::responses::plain;
 use crate::lifecycle::Lifecycle;
 
-/// Where the front asks.
+/// The path of the health check.
 pub const PATH: &str = "/_health";
 
 /// The response to a health check.
--- a/src/node/downstream/listener.rs
+++ b/src/node/downstream/listener.rs
@@ -14,7 +14,7 @@
 
 /// How long accepting pauses when there are no descriptors left, or no connection may be opened.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
-/// Once accepting was stopped, the kernel has no more connections when none has come up for this long.
+/// Once accepting is to stop, the kernel counts as having no more connections after this long without one.
 const LAST_ACCEPT_TIMEOUT: Duration = Duration::from_millis(20);
 
 impl DownstreamServer {
--- a/src/node/downstream/service.rs
+++ b/src/node/downstream/service.rs
@@ -28,7 +28,7 @@
 }
 
 impl ConnectionService {
-    /// A service that has `handler` answer, on connections that buffer `buffer_size` bytes in each direction.
+    /// A service that answers through `handler`, on connections that buffer `buffer_size` bytes in each direction.
     pub fn new(
         handler: RequestHandler,
         connections: Rc<ConnectionTable>,
