--- a/src/node/downstream/mod.rs
+++ b/src/node/downstream/mod.rs
@@ -24,9 +24,9 @@
 use crate::config::{ClassRule, Config, MAX_DEADLINE};
 use crate::engine::{EngineEvent, EngineHandle, FinalAnswer};
 use crate::lifecycle::Lifecycle;
-use crate::net::{DownstreamSocket, SocketObserver};
+use crate::net::{DownstreamSocket, SocketObserver, is_descriptor_limit};
 use crate::protocol::headers::{COST, DEADLINE, ID, KEY, OWNER, drop_hop_headers};
-use crate::upstream::{UpstreamPool, UpstreamRequest, out_of_sockets};
+use crate::upstream::{UpstreamPool, UpstreamRequest, max_connections_of};
 
 /// The longest id.
 const ID_MOST: usize = 128;
@@ -189,7 +189,7 @@
                     self.clone().adopt(number, stream);
                 }
                 Err(error) => {
-                    if out_of_sockets(&error) {
+                    if is_descriptor_limit(&error) {
                         self.make_room();
                         self.servers.evict_idle();
                     }
@@ -246,7 +246,7 @@
     /// Makes do with half of the descriptors while another process of the node runs, or no longer.
     pub fn share_descriptors(&self, shared: bool) {
         self.sockets.set(if shared { self.config.shared_sockets } else { self.config.sockets });
-        self.servers.set_max_connections(self.sockets.get() / 3);
+        self.servers.set_max_connections(max_connections_of(self.sockets.get()));
         while self.connections.borrow().len() - self.closing.get() > self.most() && self.make_room() {}
     }
 
@@ -388,7 +388,7 @@
         } else {
             self.wait(taken, seen).await?
         };
-        let next = match outgoing.came() {
+        let next = match outgoing.received_at() {
             None => Next::Cut,
             Some(_) if chunked => Next::Blurred,
             Some(_) => Next::Follows,
@@ -485,12 +485,12 @@
             method,
             target,
             headers,
-            upload,
+            body: upload,
             timeout,
-            came,
+            buffered_at: came,
             non_idempotent,
             begin_by,
-            left,
+            client_disconnected: left,
         };
         let outgoing = Rc::new(outgoing);
         Ok(Taken { request, outgoing, _unique: unique })
@@ -508,7 +508,7 @@
         seen: &SocketObserver,
     ) -> Result<Response<ResponseBody>, RequestError> {
         let (sender, answer) = oneshot::channel();
-        let upload = taken.outgoing.upload.clone();
+        let upload = taken.outgoing.body.clone();
         let failed = async move {
             match upload {
                 RequestBody::Streamed(stream) => stream.failed().await,
@@ -589,7 +589,7 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            self.outgoing.left.set(true);
+            self.outgoing.client_disconnected.set(true);
             self.engine.send(EngineEvent::ClientDisconnected(self.id));
         }
     }
--- a/src/node/engine/mod.rs
+++ b/src/node/engine/mod.rs
@@ -86,7 +86,10 @@
 
     /// Takes in an endpoint list.
     pub fn update_endpoints(&self, kind: ListKind, list: Vec<(EndpointInfo, SocketAddr)>) {
-        self.upstream.update_endpoints(list.iter().copied(), kind != ListKind::Delta);
+        match kind {
+            ListKind::Cached | ListKind::Snapshot => self.upstream.apply_snapshot(list.iter().copied()),
+            ListKind::Delta => self.upstream.apply_delta(list.iter().copied()),
+        }
         let list = list.into_iter().map(|(endpoint, _)| endpoint).collect();
         self.send(EngineEvent::Balancer(match kind {
             ListKind::Cached => Event::CachedSnapshot(list),
@@ -242,7 +245,7 @@
         }
         attempt.began_at = Some(now);
         self.queue.push_back(Event::ResponseStarted(id, number));
-        self.answer(id, FinalAnswer::Served(response.map(|part| part.reply(ended))));
+        self.answer(id, FinalAnswer::Served(response.map(|part| part.into_body(ended))));
     }
 
     /// Tells the module of an attempt's end, once: what a cancelled task still reports is passed over.
@@ -255,7 +258,7 @@
         task.abort();
         open.timed_out |= outcome == Outcome::TimedOut;
         // The server's time: from the client's last byte, where that came later, to the answer's first.
-        let came = open.outgoing.came().map_or(now, |at| now - at.elapsed().as_micros() as Micros);
+        let came = open.outgoing.received_at().map_or(now, |at| now - at.elapsed().as_micros() as Micros);
         let elapsed = ended.began_at.unwrap_or(now).saturating_sub(ended.sent_at.max(came));
         let request_finished = open.answer.is_none();
         self.queue.push_back(Event::AttemptEnded(AttemptResult {
@@ -293,7 +296,7 @@
     /// server has may not be allowed; this is no more than not to send it.
     fn drop_unwritten(&mut self, id: RequestId) {
         let Some(open) = self.open.get(&id).filter(|open| open.answer.is_none()) else { return };
-        let half = open.outgoing.came().is_none();
+        let half = open.outgoing.received_at().is_none();
         let unwritten = |a: &Attempt| a.task.is_some() && (half || !a.written.get());
         let unwritten: Vec<AttemptNumber> =
             (0..).zip(&open.attempts).filter(|(_, a)| unwritten(a)).map(|(n, _)| n).collect();
--- /dev/null
+++ b/src/node/net/downstream_socket.rs
@@ -0,0 +1,230 @@
+//! The socket of a client's connection, observed while hyper reads and writes it.
+
+use std::cell::{Cell, RefCell};
+use std::future::Future;
+use std::io;
+use std::net::Shutdown;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll, ready};
+use std::time::Duration;
+
+use socket2::SockRef;
+use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::time::{Instant, Sleep, sleep};
+
+use super::framing::MessageFramer;
+use super::receive_queue::ReceiveQueue;
+
+/// For how long a client that still sends may read the response that rejects it, before the connection is closed.
+/// Closing with unread bytes resets the connection, and the response may be lost with it.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// How many bytes are read from the client meanwhile.
+const MAX_LINGER_BYTES: usize = 32 << 20;
+/// The size of the buffer that those are read into.
+const LINGER_BUFFER_SIZE: usize = 16 << 10;
+/// How many bytes of responses the kernel may buffer; it doubles this for its own book-keeping.
+const SEND_BUFFER_SIZE: usize = 128 << 10;
+
+/// What was seen on a client's socket, shared with those who respond on it.
+pub struct SocketObserver {
+    stream: OwnedWriteHalf,
+    framer: RefCell<MessageFramer>,
+    lingers: Cell<bool>,
+    write_blocked_since: Cell<Option<Instant>>,
+}
+
+impl SocketObserver {
+    /// Whether some of a request was received.
+    pub fn has_request_started(&self) -> bool {
+        self.framer.borrow().has_started()
+    }
+
+    /// Since when the head of a request has been arriving.
+    pub fn head_since(&self) -> Option<Instant> {
+        self.framer.borrow().head_started_at()
+    }
+
+    /// Since when the kernel has taken nothing of what waits to be written.
+    pub fn write_blocked_since(&self) -> Option<Instant> {
+        self.write_blocked_since.get()
+    }
+
+    /// Returns once the client has closed its side or reset the connection, whatever it sent before. hyper would not
+    /// notice: it reads no further while it has bytes that nobody has polled for.
+    pub async fn closed(&self) {
+        // Priority data is not used, so that readiness of this interest means the end of what can be read.
+        while self.stream.ready(Interest::PRIORITY).await.is_ok_and(|ready| !ready.is_read_closed()) {}
+    }
+
+    /// Whether the client has closed or reset the connection, as far as the kernel knows now, and has sent nothing
+    /// before that is still to be read.
+    pub fn is_peer_closed(&self) -> bool {
+        matches!(self.receive_queue(), ReceiveQueue::EndOfStream | ReceiveQueue::Failed)
+    }
+
+    /// Whether the kernel has received nothing of a request that is still to be read.
+    pub fn is_quiet(&self) -> bool {
+        self.receive_queue() != ReceiveQueue::Data
+    }
+
+    fn receive_queue(&self) -> ReceiveQueue {
+        ReceiveQueue::of(self.stream.as_ref())
+    }
+
+    /// Whether the head of the current request may state a length. hyper hides that if the request has a
+    /// `Transfer-Encoding` too.
+    pub fn may_have_content_length(&self) -> bool {
+        self.framer.borrow().may_have_content_length()
+    }
+
+    /// The current request was read to its end, with a body of this length if that is known.
+    pub fn request_completed(&self, length: Option<u64>) {
+        self.framer.borrow_mut().complete(length);
+    }
+
+    /// Has the socket read on for a while after the last response, as the client may still be sending.
+    pub fn linger(&self) {
+        self.lingers.set(true);
+    }
+
+    /// Writes what the kernel takes, once it takes some.
+    fn poll_write(
+        &self,
+        cx: &mut Context<'_>,
+        write: impl Fn(&TcpStream) -> io::Result<usize>,
+    ) -> Poll<io::Result<usize>> {
+        let polled = self.poll_write_unobserved(cx, write);
+        let blocked_since = self.write_blocked_since.get().unwrap_or_else(Instant::now);
+        self.write_blocked_since.set(polled.is_pending().then_some(blocked_since));
+        polled
+    }
+
+    fn poll_write_unobserved(
+        &self,
+        cx: &mut Context<'_>,
+        write: impl Fn(&TcpStream) -> io::Result<usize>,
+    ) -> Poll<io::Result<usize>> {
+        let stream = self.stream.as_ref();
+        loop {
+            ready!(stream.poll_write_ready(cx))?;
+            match write(stream) {
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                written => return Poll::Ready(written),
+            }
+        }
+    }
+
+    /// Sends the end of the stream to the client.
+    fn shut_down_write(&self) -> io::Result<()> {
+        match SockRef::from(self.stream.as_ref()).shutdown(Shutdown::Write) {
+            Err(error) if error.kind() != io::ErrorKind::NotConnected => Err(error),
+            _ => Ok(()),
+        }
+    }
+}
+
+/// The reading of what a client still sends after its last response.
+struct Lingering {
+    timer: Pin<Box<Sleep>>,
+    remaining_bytes: usize,
+}
+
+impl Lingering {
+    fn new() -> Lingering {
+        Lingering { timer: Box::pin(sleep(LINGER_TIMEOUT)), remaining_bytes: MAX_LINGER_BYTES }
+    }
+
+    /// Reads and discards until the client has closed its side or the time is up. Once it has sent too much, only
+    /// waits.
+    fn poll(&mut self, cx: &mut Context<'_>, reader: &mut OwnedReadHalf) -> Poll<()> {
+        while self.timer.as_mut().poll(cx).is_pending() {
+            if self.remaining_bytes == 0 {
+                return Poll::Pending;
+            }
+            let mut space = [0; LINGER_BUFFER_SIZE];
+            let mut buf = ReadBuf::new(&mut space);
+            let read = ready!(Pin::new(&mut *reader).poll_read(cx, &mut buf));
+            let bytes = buf.filled().len();
+            if read.is_err() || bytes == 0 {
+                break;
+            }
+            self.remaining_bytes = self.remaining_bytes.saturating_sub(bytes);
+        }
+        Poll::Ready(())
+    }
+}
+
+/// A client's socket, as hyper uses it.
+pub struct DownstreamSocket {
+    reader: OwnedReadHalf,
+    observer: Rc<SocketObserver>,
+    /// Set once the writing side is closed.
+    lingering: Option<Lingering>,
+}
+
+impl DownstreamSocket {
+    /// Wraps an accepted stream.
+    pub fn new(stream: TcpStream) -> (DownstreamSocket, Rc<SocketObserver>) {
+        // That a slow client reads shows only as the kernel's buffer empties, and that would grow to megabytes.
+        let _ = SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_SIZE);
+        let (reader, stream) = stream.into_split();
+        let observer = Rc::new(SocketObserver {
+            stream,
+            framer: RefCell::new(MessageFramer::new()),
+            lingers: Cell::new(false),
+            write_blocked_since: Cell::new(None),
+        });
+        (DownstreamSocket { reader, observer: observer.clone(), lingering: None }, observer)
+    }
+}
+
+impl AsyncRead for DownstreamSocket {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let filled_before = buf.filled().len();
+        let polled = Pin::new(&mut self.reader).poll_read(cx, buf);
+        self.observer.framer.borrow_mut().push(&buf.filled()[filled_before..]);
+        polled
+    }
+}
+
+impl AsyncWrite for DownstreamSocket {
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+        self.observer.poll_write(cx, |stream| stream.try_write(buf))
+    }
+
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bufs: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        self.observer.poll_write(cx, |stream| stream.try_write_vectored(bufs))
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        self.observer.stream.as_ref().is_write_vectored()
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        // A TCP stream buffers nothing outside of the kernel.
+        Poll::Ready(Ok(()))
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        let DownstreamSocket { reader, observer, lingering } = self.get_mut();
+        if lingering.is_none() {
+            observer.shut_down_write()?;
+            if !observer.lingers.get() {
+                return Poll::Ready(Ok(()));
+            }
+        }
+        let lingering = lingering.get_or_insert_with(Lingering::new);
+        lingering.poll(cx, reader).map(Ok)
+    }
+}
--- /dev/null
+++ b/src/node/net/upstream_socket.rs
@@ -0,0 +1,112 @@
+//! The socket of a connection to an endpoint, observed while hyper reads and writes it.
+
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::sync::Notify;
+
+use super::permits::ConnectionPermit;
+use super::receive_queue::ReceiveQueue;
+
+/// A connection to an endpoint, shared between hyper, which uses it through [`UpstreamIo`], and the connection's
+/// owner.
+pub struct UpstreamSocket {
+    stream: RefCell<TcpStream>,
+    /// How many bytes have been written.
+    written: Cell<u64>,
+    /// Whether bytes have been read since this was last cleared.
+    received: Cell<bool>,
+    received_changed: Notify,
+    _permit: ConnectionPermit,
+}
+
+impl UpstreamSocket {
+    /// Wraps a connected stream. The permit is released when the socket is closed.
+    pub fn new(stream: TcpStream, permit: ConnectionPermit) -> UpstreamSocket {
+        UpstreamSocket {
+            stream: RefCell::new(stream),
+            written: Cell::new(0),
+            received: Cell::new(false),
+            received_changed: Notify::new(),
+            _permit: permit,
+        }
+    }
+
+    /// How many bytes have been written to it.
+    pub fn written(&self) -> u64 {
+        self.written.get()
+    }
+
+    /// Waits until bytes have been read from it since the last call.
+    pub async fn data_received(&self) {
+        while !self.received.get() {
+            self.received_changed.notified().await;
+        }
+        self.received.set(false);
+    }
+
+    /// Forgets that bytes have been read: they belonged to an earlier response.
+    pub fn clear_received(&self) {
+        self.received.set(false);
+    }
+
+    /// Whether the connection is open and the kernel has received nothing that is still to be read.
+    pub fn is_receive_queue_empty(&self) -> bool {
+        ReceiveQueue::of(&self.stream.borrow()) == ReceiveQueue::Empty
+    }
+
+    fn count_written(&self, polled: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        if let Poll::Ready(Ok(bytes)) = &polled {
+            self.written.set(self.written.get() + *bytes as u64);
+        }
+        polled
+    }
+}
+
+/// hyper's handle of an [`UpstreamSocket`].
+pub struct UpstreamIo(pub Rc<UpstreamSocket>);
+
+impl AsyncRead for UpstreamIo {
+    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        let filled_before = buf.filled().len();
+        let polled = Pin::new(&mut *self.0.stream.borrow_mut()).poll_read(cx, buf);
+        if buf.filled().len() > filled_before {
+            self.0.received.set(true);
+            self.0.received_changed.notify_one();
+        }
+        polled
+    }
+}
+
+impl AsyncWrite for UpstreamIo {
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+        let polled = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write(cx, buf);
+        self.0.count_written(polled)
+    }
+
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bufs: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        let polled = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write_vectored(cx, bufs);
+        self.0.count_written(polled)
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        self.0.stream.borrow().is_write_vectored()
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut *self.0.stream.borrow_mut()).poll_flush(cx)
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut *self.0.stream.borrow_mut()).poll_shutdown(cx)
+    }
+}
