--- a/src/node/downstream/mod.rs
+++ b/src/node/downstream/mod.rs
@@ -81,7 +81,7 @@
     /// opened for a request that may be in the kernel already, and to close on that one would lose it.
     fn spare_since(&self) -> Option<Instant> {
         // A request that comes in pieces has begun, and may be whole in the kernel by now.
-        let idle = !self.closing.get() && !self.seen.has_request_started() && self.seen.is_quiet();
+        let idle = !self.closing.get() && !self.seen.has_request_started() && !self.seen.has_unread_data();
         let since = self.idle_since.get().filter(|_| idle)?;
         // One just answered may carry the next request already: its answers say `Connection: close` instead.
         let least = if self.fresh.get() { FIRST_WITHIN } else { IDLE_LEAST };
@@ -344,7 +344,7 @@
                     }
                 }
                 () = connection.close.notified() => {
-                    if connection.seen.has_request_started() || !connection.seen.is_quiet() {
+                    if connection.seen.has_request_started() || connection.seen.has_unread_data() {
                         self.keep(connection);
                     } else {
                         serving.as_mut().graceful_shutdown();
--- a/src/node/net/downstream_socket.rs
+++ b/src/node/net/downstream_socket.rs
@@ -65,9 +65,9 @@
         matches!(self.receive_queue(), ReceiveQueue::EndOfStream | ReceiveQueue::Failed)
     }
 
-    /// Whether the kernel has received nothing of a request that is still to be read.
-    pub fn is_quiet(&self) -> bool {
-        self.receive_queue() != ReceiveQueue::Data
+    /// Whether the kernel has received bytes of a request that are still to be read.
+    pub fn has_unread_data(&self) -> bool {
+        self.receive_queue() == ReceiveQueue::Data
     }
 
     fn receive_queue(&self) -> ReceiveQueue {
--- a/src/node/net/framing.rs
+++ b/src/node/net/framing.rs
@@ -91,3 +91,7 @@
         self.content_length_lines > 0 || self.in_head || self.is_ambiguous
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/message_framer.rs"]
+mod tests;
--- a/src/node/net/permits.rs
+++ b/src/node/net/permits.rs
@@ -63,3 +63,7 @@
         self.0.released.notify_one();
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/connection_permits.rs"]
+mod tests;
--- a/src/node/upstream/endpoints.rs
+++ b/src/node/upstream/endpoints.rs
@@ -122,3 +122,7 @@
         self.ready.values_mut().map(|endpoint| &mut endpoint.idle)
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/endpoint_directory.rs"]
+mod tests;
--- a/src/node/upstream/response.rs
+++ b/src/node/upstream/response.rs
@@ -76,3 +76,7 @@
         }))
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/response_framing.rs"]
+mod tests;
--- a/tests/layout.rs
+++ b/tests/layout.rs
@@ -96,8 +96,11 @@
 /// Takes away, again and again, what imports nothing that is left; what stays is part of a circle or needs one.
 fn circle(mut imports: Imports) -> Imports {
     loop {
-        let leaves: Vec<String> =
-            imports.iter().filter(|(_, others)| others.is_empty()).map(|(module, _)| module.clone()).collect();
+        let leaves: Vec<String> = imports
+            .iter()
+            .filter(|(_, others)| others.is_empty())
+            .map(|(module, _)| module.clone())
+            .collect();
         if leaves.is_empty() {
             return imports;
         }
