--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -203,7 +203,7 @@
     }
 }
 
-/// The outcome of an attempt that was answered with a 200.
+/// The outcome of an attempt that got a 200.
 fn serve(
     mut head: response::Parts,
     prefix: ResponsePrefix,
@@ -229,7 +229,7 @@
 /// Closes the idle connections to an endpoint if a request to it ends without a response after a long time.
 ///
 /// An endpoint that has become unreachable is silent on all connections that it had. Each idle one would cost another
-/// attempt its whole time, and leave open whether the request was executed; a new one fails early, and surely without
+/// attempt its full timeout, and leave open whether the request was executed; a new one fails early, and surely without
 /// executing anything.
 struct UnresponsiveGuard<'a> {
     pool: &'a UpstreamPool,
--- a/src/node/upstream/endpoints.rs
+++ b/src/node/upstream/endpoints.rs
@@ -19,7 +19,8 @@
         Endpoint { incarnation, idle: IdleConnections::new() }
     }
 
-    /// Whether it still has this address and start time. Maintenance is not asked about: it concerns new connections.
+    /// Whether it has the same address and start time. The maintenance epoch does not matter: it is no property of the
+    /// process.
     fn is_same_process(&self, other: &Incarnation) -> bool {
         (self.incarnation.address, self.incarnation.started_at) == (other.address, other.started_at)
     }
@@ -77,7 +78,7 @@
         self.ready.retain(|id, _| !unready.contains(id));
     }
 
-    /// Adds an endpoint, or replaces it if it has moved or restarted: an endpoint that became unreachable and came
+    /// Adds an endpoint, or replaces it if it has moved or restarted: an endpoint that was unreachable and is
     /// back does not know its old connections, and nothing on them would show that.
     fn update(&mut self, info: &EndpointInfo, address: SocketAddr) {
         let incarnation =
