--- a/src/node/downstream/connection.rs
+++ b/src/node/downstream/connection.rs
@@ -96,7 +96,7 @@
 
     /// Whether some of a request has been read, or can be read.
     pub fn has_incoming_request(&self) -> bool {
-        self.observer.has_request_started() || !self.observer.is_quiet()
+        self.observer.has_request_started() || self.observer.has_unread_data()
     }
 
     /// Since when it is idle, if it may be closed now. A client whose request crosses the close sends it once more,
--- a/src/node/downstream/exchange.rs
+++ b/src/node/downstream/exchange.rs
@@ -47,7 +47,7 @@
     lifecycle: &Lifecycle,
 ) -> Result<Response<ResponseBody>, RequestError> {
     let AcceptedRequest { request, upstream_request, claimed_id: _claimed_id } = accepted;
-    let body = upstream_request.upload.clone();
+    let body = upstream_request.body.clone();
     let (sender, answer) = oneshot::channel();
     let mut disconnect = DisconnectGuard { id: request.id, upstream_request, engine, armed: true };
     engine.send(EngineEvent::RequestArrived(request, disconnect.upstream_request.clone(), sender));
@@ -98,7 +98,7 @@
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if self.armed {
-            self.upstream_request.left.set(true);
+            self.upstream_request.client_disconnected.set(true);
             self.engine.send(EngineEvent::ClientDisconnected(self.id));
         }
     }
--- a/src/node/downstream/handler.rs
+++ b/src/node/downstream/handler.rs
@@ -117,7 +117,7 @@
         } else {
             exchange(accepted, observer, &self.engine, &self.lifecycle).await?
         };
-        let then = match upstream_request.came() {
+        let then = match upstream_request.received_at() {
             None => AfterResponse::LingeringClose,
             // Only hyper knows where among the bytes the last chunk ended, so that the head of the next request
             // could not be told apart.
@@ -138,13 +138,13 @@
         check_framing(&parts.headers, observer)?;
         let head = RequestHead::parse(parts, !body.is_end_stream(), &self.config)?;
         let body = RequestBody::read(body, body_due, &self.buffer_budget, observer).await?;
-        let received_at = Instant::now();
+        let buffered_at = Instant::now();
         let claimed_id = self.open_ids.claim(head.client_request_id());
         let claimed_id = claimed_id.ok_or(RequestError::DuplicateRequestId)?;
         let id = self.engine.next_request_id();
         notify_engine_of_upload(&body, id, &self.engine);
         let request = head.balancer_request(id);
-        let upstream_request = Rc::new(head.into_upstream_request(body, received_at));
+        let upstream_request = Rc::new(head.into_upstream_request(body, buffered_at));
         Ok(AcceptedRequest { request, upstream_request, claimed_id })
     }
 }
--- a/src/node/downstream/listener.rs
+++ b/src/node/downstream/listener.rs
@@ -9,8 +9,7 @@
 
 use crate::downstream::connection::Connection;
 use crate::downstream::server::DownstreamServer;
-use crate::net::DownstreamSocket;
-use crate::upstream::out_of_sockets;
+use crate::net::{DownstreamSocket, is_descriptor_limit};
 
 /// How long accepting pauses when there are no descriptors left, or no connection may be opened.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
@@ -38,7 +37,7 @@
                     self.serve(stream);
                 }
                 Err(error) => {
-                    if out_of_sockets(&error) {
+                    if is_descriptor_limit(&error) {
                         self.connections().close_idlest();
                         self.upstream().evict_idle();
                     }
--- a/src/node/downstream/request.rs
+++ b/src/node/downstream/request.rs
@@ -66,17 +66,17 @@
         mothspool::Request {
             id,
             class: self.class.index,
-            remaining: self.timeout.as_micros() as u64,
+            remaining: self.timeout,
             expected_work: self.expected_work(),
             key: self.key(),
             tenant: self.tenant,
         }
     }
 
-    /// The client's estimate of the work, in microseconds.
-    fn expected_work(&self) -> Option<u64> {
+    /// The client's estimate of the work.
+    fn expected_work(&self) -> Option<Duration> {
         let micros: f64 = single_value(&self.headers, &COST)?.parse().ok()?;
-        (micros > 0.0).then_some(micros as u64)
+        (micros > 0.0).then_some(Duration::from_micros(micros as u64))
     }
 
     /// A hash of what the request concerns: the last part of a path that has more than the class.
@@ -85,13 +85,13 @@
         Some(xxhash_rust::xxh3::xxh3_64(part.as_bytes()))
     }
 
-    /// The request as it is sent to endpoints. `received_at` is when the last byte of a buffered body was received.
-    pub fn into_upstream_request(self, upload: RequestBody, received_at: Instant) -> UpstreamRequest {
+    /// The request as it is sent to endpoints. `buffered_at` is when the last byte was received, if the body is buffered.
+    pub fn into_upstream_request(self, body: RequestBody, buffered_at: Instant) -> UpstreamRequest {
         let target = self.uri.path_and_query().cloned().unwrap_or(PathAndQuery::from_static("/"));
         let mut headers = self.headers;
         drop_hop_headers(&mut headers);
         headers.remove(DEADLINE);
-        if let Some(length) = upload.length().filter(|_| self.method == Method::POST) {
+        if let Some(length) = body.length().filter(|_| self.method == Method::POST) {
             headers.insert(header::CONTENT_LENGTH, HeaderValue::from(length));
         }
         headers.entry(header::HOST).or_insert(DEFAULT_HOST);
@@ -99,12 +99,12 @@
             method: self.method,
             target,
             headers,
-            upload,
+            body,
             timeout: self.timeout,
-            came: received_at,
+            buffered_at,
             non_idempotent: self.class.idempotency == Idempotency::NonIdempotent,
             begin_by: Cell::new(None),
-            left: Cell::new(false),
+            client_disconnected: Cell::new(false),
         }
     }
 }
--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -13,10 +13,8 @@
 use crate::downstream::service::ConnectionService;
 use crate::engine::EngineHandle;
 use crate::lifecycle::Lifecycle;
-use crate::upstream::UpstreamPool;
+use crate::upstream::{UpstreamPool, max_connections_of};
 
-/// One in this many descriptors is set aside for connections to endpoints.
-const UPSTREAM_DIVISOR: usize = 3;
 /// How often connections are checked for those that are idle for too long or stuck.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// How often connections are checked while all of them have to close.
@@ -72,7 +70,7 @@
     /// Goes by half of the node's descriptors while another process of the node runs, by all of them otherwise.
     pub fn share_descriptors(&self, shared: bool) {
         let descriptors = if shared { self.config.shared_sockets } else { self.config.sockets };
-        self.upstream.set_max_connections(descriptors / UPSTREAM_DIVISOR);
+        self.upstream.set_max_connections(max_connections_of(descriptors));
         self.connections.set_limits(ConnectionLimits::new(descriptors, self.upstream.max_connections()));
     }
 
