--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -183,7 +183,8 @@
     ) -> Result<AttemptOutcome, Outcome> {
         let (head, body) = response.into_parts();
         let framing = ResponseFraming::of(&head.headers).ok_or(Outcome::Reset)?;
-        let prefix = ResponsePrefix::read(body, self.pool.buffer_budget()).await.ok_or(Outcome::Reset)?;
+        let prefix =
+            ResponsePrefix::read(body, self.pool.buffer_budget()).await.map_err(|_| Outcome::Reset)?;
         let keeps_connection = framing.keeps_connection();
         if head.status == StatusCode::OK {
             return Ok(serve(head, prefix, lease, keeps_connection));
@@ -216,7 +217,7 @@
             if keeps_connection {
                 lease.return_idle();
             }
-            let body = ResponseBody::whole(bytes, reservation);
+            let body = ResponseBody::buffered(bytes, reservation);
             AttemptOutcome::Served(Response::from_parts(head, body))
         }
         ResponsePrefix::Partial(prefix, rest) => {
--- a/src/node/upstream/response.rs
+++ b/src/node/upstream/response.rs
@@ -1,11 +1,10 @@
 //! Responses of endpoints: how they state their end, and the ones that pass through to the client.
 
-use hyper::body::Incoming;
 use hyper::header::{self, HeaderMap, HeaderValue};
 use mothspool::Outcome;
 
 use super::pool::ConnectionLease;
-use crate::body::{BufferedPrefix, ResponseBody, StreamingResponseBody, TransferEnd};
+use crate::body::{BufferedPrefix, IncomingBody, ResponseBody, StreamingResponseBody, TransferEnd};
 use crate::protocol::headers::DECLINED;
 
 /// How a response states where it ends.
@@ -54,7 +53,7 @@
 /// The body of a response of which the first piece was read, and the rest passes through to the client.
 pub struct StreamingResponse {
     pub(super) prefix: BufferedPrefix,
-    pub(super) rest: Incoming,
+    pub(super) rest: IncomingBody,
     /// Held until the end, as dropping it closes the connection.
     pub(super) lease: ConnectionLease,
     pub(super) keeps_connection: bool,
@@ -64,7 +63,7 @@
     /// The body for the client. `on_end` is called with the outcome of the attempt.
     pub fn into_body(self, on_end: impl FnOnce(Outcome) + 'static) -> ResponseBody {
         let StreamingResponse { prefix, rest, lease, keeps_connection } = self;
-        ResponseBody::part(StreamingResponseBody::new(prefix, rest, move |end| match end {
+        ResponseBody::streaming(StreamingResponseBody::new(prefix, rest, move |end| match end {
             TransferEnd::Complete => {
                 if keeps_connection {
                     lease.return_idle();
@@ -72,7 +71,7 @@
                 on_end(Outcome::Served);
             }
             TransferEnd::Broken => on_end(Outcome::Reset),
-            TransferEnd::ClientLeft => on_end(Outcome::Cancelled),
+            TransferEnd::ClientDisconnected => on_end(Outcome::Cancelled),
         }))
     }
 }
