--- a/tests/node/leaving.rs
+++ b/tests/node/client_disconnects.rs
@@ -1,14 +1,12 @@
 //! Clients that leave while their requests wait: nothing of those is written to a server any more.
 
 use std::io::Write;
-use std::net::{TcpListener, TcpStream};
-use std::thread;
-use std::time::{Duration, Instant};
+use std::net::TcpListener;
+use std::time::Duration;
 
-use socket2::{Domain, SockRef, Socket, Type};
+use socket2::SockRef;
 
-use super::moving::next;
-use super::peers::*;
+use crate::support::*;
 
 /// How a client goes.
 #[derive(Clone, Copy, Debug)]
@@ -26,31 +24,10 @@
     drop(client);
 }
 
-/// Waits until the node holds no more descriptors than this; far longer than it may take, and far shorter than
-/// any request's time.
-fn let_go_of(node: &Node, descriptors: usize, what: &str) {
-    let began = Instant::now();
-    while node.descriptors() > descriptors {
-        assert!(began.elapsed() < Duration::from_secs(3), "{what}: the client's leaving was not seen");
-        thread::sleep(Duration::from_millis(5));
-    }
-}
-
 fn listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-fn entry(uid: &str, listener: &TcpListener, state: &str) -> serde_json::Value {
-    target(uid, listener.local_addr().unwrap(), 1, state)
-}
-
-/// A connection that the node has opened, with the request that came on it.
-pub fn taken(listener: &TcpListener) -> (Client, Message) {
-    let mut line = Client::on(accepted(listener));
-    let request = line.answer();
-    (line, request)
-}
-
 /// What clients send behind a request before they leave.
 fn further() -> [(&'static str, Vec<u8>); 4] {
     [
@@ -197,20 +174,6 @@
     }
 }
 
-/// A listener whose queue is full: connections to it come up only once it has accepted those in the queue.
-pub fn full_listener() -> (TcpListener, Vec<TcpStream>) {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().unwrap().into()).unwrap();
-    socket.listen(0).unwrap();
-    let listener = TcpListener::from(socket);
-    let address = listener.local_addr().unwrap();
-    let mut queued = Vec::new();
-    while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
-        queued.push(stream);
-    }
-    (listener, queued)
-}
-
 #[test]
 fn what_waits_for_a_connection_is_not_sent_on_once_its_client_has_left() {
     // Also where attempts may not be cancelled: what was never written is none.
@@ -351,15 +314,6 @@
     }
 }
 
-/// Waits until the node has so many descriptors, and so has taken a client in.
-fn came(node: &Node, descriptors: usize) {
-    let began = Instant::now();
-    while node.descriptors() < descriptors {
-        assert!(began.elapsed() < WITHIN, "the client was not taken in");
-        thread::sleep(Duration::from_millis(1));
-    }
-}
-
 /// No descriptor is left, and all that hold one wait for a server that says nothing.
 #[test]
 fn descriptors_come_back_from_clients_that_leave_where_none_was_left() {
@@ -374,3 +328,14 @@
         assert_eq!(node.health(), 200);
     }
 }
+
+#[test]
+fn a_client_that_leaves_takes_its_attempt_along() {
+    let server = Server::new(|_, _| Act::Wait);
+    let node = Node::new(&[ready("a", &server)]);
+    let mut client = node.client();
+    client.send(&view());
+    let (connection, _) = server.request();
+    drop(client);
+    assert_eq!(server.ended(), connection);
+}
--- a/tests/node/moving.rs
+++ b/tests/node/connection_setup.rs
@@ -2,16 +2,12 @@
 //! meanwhile, or for a descriptor.
 
 use std::net::TcpListener;
+use std::thread;
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
 
-use super::leaving::{full_listener, taken};
-use super::peers::*;
-
-fn entry(uid: &str, listener: &TcpListener, state: &str) -> Value {
-    target(uid, listener.local_addr().unwrap(), 1, state)
-}
+use crate::support::*;
 
 /// Whether anything is written to the listener, which now accepts all that want to connect, before the node has
 /// answered once more.
@@ -106,7 +102,7 @@
     drop(used);
     // The repeat waits for a connection in place of the one that broke.
     while node.descriptors() < before && ran.elapsed() < WINDOW {}
-    std::thread::sleep((ran + WINDOW).saturating_duration_since(Instant::now()));
+    thread::sleep((ran + WINDOW).saturating_duration_since(Instant::now()));
     for _ in queued {
         drop(accepted(&b));
     }
@@ -151,18 +147,3 @@
         assert_eq!(waiting.answer().body, b"second");
     }
 }
-
-/// The next connection to any of these, with the request on it read.
-pub fn next(listeners: &[TcpListener]) -> (Client, Message) {
-    listeners.iter().for_each(|listener| listener.set_nonblocking(true).unwrap());
-    let began = Instant::now();
-    loop {
-        if let Some(stream) = listeners.iter().find_map(|listener| Some(listener.accept().ok()?.0)) {
-            stream.set_nonblocking(false).unwrap();
-            let mut line = Client::on(stream);
-            let request = line.answer();
-            return (line, request);
-        }
-        assert!(began.elapsed() < WITHIN, "nobody connects");
-    }
-}
--- a/tests/node/operating.rs
+++ b/tests/node/operating.rs
@@ -1,15 +1,16 @@
 //! Day-to-day operation: operators' calls, maintenance, standby, and one process after another.
 
-use std::fs;
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::Command;
+use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
+use std::{fs, thread};
 
 use serde_json::{Value, json};
 
-use crate::peers::*;
+use crate::support::*;
 
 /// What an operator reads of the node.
 fn shown(node: &Node) -> Value {
@@ -17,15 +18,6 @@
     serde_json::from_slice(&answer.body).expect(&answer.first)
 }
 
-/// Waits until something holds; only a failing test waits for long.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !holds() {
-        assert!(began.elapsed() < WITHIN, "{what}");
-        std::thread::sleep(Duration::from_millis(10));
-    }
-}
-
 fn state_file(folder: &Path) -> PathBuf {
     folder.join("dunelink-n0.json")
 }
@@ -98,8 +90,8 @@
 
 #[test]
 fn nothing_goes_to_a_server_in_maintenance_whatever_discovery_says() {
-    let turns = std::sync::atomic::AtomicUsize::new(0);
-    let one = Server::new(move |_, _| match turns.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
+    let turns = AtomicUsize::new(0);
+    let one = Server::new(move |_, _| match turns.fetch_add(1, Ordering::SeqCst) {
         1 => Act::SayMore(Vec::new(), Duration::from_millis(1500), answer(200, "", "late")),
         _ => ok("one"),
     });
@@ -176,7 +168,7 @@
     let targets: Vec<Value> = names.iter().map(|uid| ready(uid, &server)).collect();
     let (listener, folder) = (TcpListener::bind("127.0.0.1:0").unwrap(), folder());
     let nodes = [0, 1].map(|_| Node::passed(&targets, &listener, &folder));
-    std::thread::scope(|scope| {
+    thread::scope(|scope| {
         for (uid, node) in names.iter().zip(nodes.iter().cycle()) {
             scope.spawn(|| assert_eq!(node.maintain("enter", uid), 200));
         }
@@ -236,7 +228,7 @@
     let text = view();
     slow.send(&text[..20]);
     assert_eq!(node.call("POST", "/standby", "").status(), 200);
-    std::thread::sleep(Duration::from_millis(1200));
+    thread::sleep(Duration::from_millis(1200));
     slow.send(&text[20..]);
     assert_eq!(slow.answer().body, b"slip");
 }
--- a/tests/node/ending.rs
+++ b/tests/node/shutdown.rs
@@ -1,12 +1,15 @@
 //! SIGTERM beside all that may happen at that moment: what was taken has its answer before SIGKILL is due.
 
-use std::net::TcpListener;
+use std::net::{TcpListener, TcpStream};
+use std::thread;
 use std::time::{Duration, Instant};
 
-use super::peers::*;
+use serde_json::Value;
+
+use crate::support::*;
 
 /// A second is the longest deadline here; SIGKILL is due 0.7 s later.
-fn short(targets: &[serde_json::Value], sockets: usize) -> Node {
+fn short(targets: &[Value], sockets: usize) -> Node {
     Node::configured(targets, |config| {
         config["limits"]["sockets"] = sockets.into();
         for class in config["settings"]["services"].as_array_mut().unwrap() {
@@ -23,7 +26,7 @@
 
 /// Ends the node as the platform does.
 fn killed(node: &mut Node, told: Instant) {
-    std::thread::sleep((told + KILLED_AFTER).saturating_duration_since(Instant::now()));
+    thread::sleep((told + KILLED_AFTER).saturating_duration_since(Instant::now()));
     node.kill();
 }
 
@@ -39,10 +42,10 @@
     rested();
     let told = Instant::now();
     node.terminate();
-    std::thread::sleep((told + Duration::from_millis(1000)).saturating_duration_since(Instant::now()));
+    thread::sleep((told + Duration::from_millis(1000)).saturating_duration_since(Instant::now()));
     begun[0].send(&order[20..]);
     let mut client = begun.swap_remove(0);
-    let answer = std::thread::spawn(move || client.whole_answer());
+    let answer = thread::spawn(move || client.whole_answer());
     killed(&mut node, told);
     let answer = answer.join().unwrap().expect("an answer before the node is killed");
     assert!([502, 503, 504].contains(&answer.status()), "{answer:?}");
@@ -61,13 +64,13 @@
     node.terminate();
     let mut queued: Vec<Client> = (0..5).map(|_| node.client()).collect();
     queued.iter_mut().for_each(|client| client.send(&view()));
-    std::thread::sleep((told + Duration::from_millis(1200)).saturating_duration_since(Instant::now()));
+    thread::sleep((told + Duration::from_millis(1200)).saturating_duration_since(Instant::now()));
     // Some are sent, the others held: all wait until the last call.
     for (n, client) in held.iter_mut().enumerate() {
         client.send(&order[20..]);
         assert!(n > 0 || server.request().1.first.starts_with("POST"));
     }
-    let answers = std::thread::spawn(move || {
+    let answers = thread::spawn(move || {
         let answered = |mut client: Client| client.whole_answer().map(|answer| answer.status());
         queued.into_iter().map(answered).collect::<Vec<_>>()
     });
@@ -156,3 +159,45 @@
     }
     assert!(node.exit().success());
 }
+
+#[test]
+fn after_sigterm_all_is_still_answered_and_connections_end() {
+    let server = Server::new(|count, _| if count == 1 { Act::Wait } else { ok("slip") });
+    let mut node = Node::new(&[ready("a", &server)]);
+    let (mut kept, mut waiting) = (node.client(), node.client());
+    assert_eq!(kept.ask(&view()).status(), 200);
+    waiting.send(&order());
+    server.request();
+    server.request();
+    node.terminate();
+    // The node is told by now or soon: it serves on, and says when it means to go.
+    loop {
+        let answer = kept.ask(&view());
+        assert_eq!(answer.status(), 200);
+        if answer.header("connection") == Some("close") {
+            break;
+        }
+    }
+    assert!(kept.ended());
+    // The node goes before the order's deadline; no answer at all would be worse than a failure.
+    assert_eq!(waiting.answer().status(), 504);
+    assert!(node.exit().success());
+    assert!(TcpStream::connect(node.address).is_err());
+}
+
+#[test]
+fn what_passes_through_ends_properly_in_a_process_that_leaves() {
+    let body = varied(2_000_000);
+    let mut pieces = vec![sized("", &body)];
+    let rest = pieces[0].split_off(1_500_000);
+    pieces.push(rest);
+    let server = Server::new(move |_, _| Act::SayInPieces(pieces.clone(), Duration::from_millis(2000)));
+    let (listener, folder) = (TcpListener::bind("127.0.0.1:0").unwrap(), folder());
+    let mut node = Node::passed(&[ready("a", &server)], &listener, &folder);
+    let mut client = node.client();
+    client.send(&view());
+    server.request();
+    node.terminate();
+    assert_eq!(client.answer().body, body);
+    assert!(node.exit().success());
+}
--- /dev/null
+++ b/tests/support/command.rs
@@ -0,0 +1,61 @@
+//! The program under test, its configuration and its state directory.
+
+use std::os::fd::AsFd;
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+use std::sync::atomic::{AtomicUsize, Ordering};
+
+use serde_json::{Value, json};
+
+/// Starts the program with this configuration.
+pub fn start(config: &str) -> Child {
+    program().env("GW_CONFIG", write(config)).spawn().unwrap()
+}
+
+/// Writes a configuration to a file of its own.
+pub fn write(config: &str) -> String {
+    static NUMBER: AtomicUsize = AtomicUsize::new(0);
+    let number = NUMBER.fetch_add(1, Ordering::SeqCst);
+    let path = format!("{}/config-{}-{number}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+    std::fs::write(&path, config).unwrap();
+    path
+}
+
+pub fn program() -> Command {
+    let mut program = Command::new(env!("CARGO_BIN_EXE_mothspool"));
+    program.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+    program
+}
+
+/// The program with a listening socket as descriptor 5.
+pub fn passing(socket: &impl AsFd) -> Command {
+    let mut shell = Command::new("sh");
+    shell.args(["-c", "exec \"$0\" 5<&0 0</dev/null", env!("CARGO_BIN_EXE_mothspool")]);
+    shell.stdin(socket.as_fd().try_clone_to_owned().unwrap());
+    shell.stdout(Stdio::null()).stderr(Stdio::piped()).env("GW_PASSED_SOCKET", "5");
+    shell
+}
+
+/// A folder of its own for what outlives a process.
+pub fn folder() -> PathBuf {
+    static NUMBER: AtomicUsize = AtomicUsize::new(0);
+    let number = NUMBER.fetch_add(1, Ordering::SeqCst);
+    let path = format!("{}/state-{}-{number}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+    let _ = std::fs::remove_dir_all(&path);
+    std::fs::create_dir_all(&path).unwrap();
+    path.into()
+}
+
+pub fn settings() -> Value {
+    let class = |name: &str, repeats: &str| {
+        json!({"name": name, "idempotency": repeats, "dedup_scope": "cell", "window_us": 10_000_000,
+            "goal_time_us": 4_000_000, "deadline_us": 15_000_000, "points": 1.0, "late_value": 0.2})
+    };
+    json!({"balancers": 1, "rank": 0, "zone": 0, "zones": ["sapporo-a", "sapporo-b"], "skus": ["std-1c"],
+        "discovery": "automatic", "step_us": 5000, "over_share_worth": 0.05,
+        "allowed": {"max_attempts": 3, "cancelling": true, "second_copies": true, "retry_after": true,
+            "max_retry_after_us": 2_000_000, "connect_timeout_us": 2_000_000, "keepalive_us": 60_000_000},
+        "obligations": {"cold_from": 0.12, "warm_up_us": 21_000_000, "fall_multiple": 3.0},
+        "parties": [{"name": "acme", "quota_rps": 100.0, "share": 1.0}],
+        "services": [class("view", "pure"), class("submit", "token"), class("order", "side_effect")]})
+}
--- /dev/null
+++ b/tests/support/message.rs
@@ -0,0 +1,65 @@
+//! Parsing of HTTP/1.1 messages.
+
+use std::io::BufRead;
+
+/// One HTTP message, as it came.
+#[derive(Clone, Debug)]
+pub struct Message {
+    pub first: String,
+    pub headers: Vec<(String, String)>,
+    pub body: Vec<u8>,
+}
+
+impl Message {
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+    }
+
+    /// The status of an answer.
+    pub fn status(&self) -> u16 {
+        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+    }
+
+    /// Reads a message; nothing if the connection has ended.
+    pub fn read(from: &mut impl BufRead) -> Option<Message> {
+        let mut line = || {
+            let mut line = String::new();
+            from.read_line(&mut line).ok().filter(|n| *n > 0)?;
+            Some(line.trim_end().to_string())
+        };
+        let (first, mut headers) = (line()?, Vec::new());
+        loop {
+            let header = line()?;
+            let Some((name, value)) = header.split_once(':') else { break };
+            headers.push((name.to_string(), value.trim().to_string()));
+        }
+        let mut message = Message { first, headers, body: Vec::new() };
+        if message.header("transfer-encoding") == Some("chunked") {
+            return message.read_chunks(from);
+        }
+        let length = message.header("content-length").and_then(|n| n.parse().ok());
+        if let Some(length) = length {
+            message.body.resize(length, 0);
+            from.read_exact(&mut message.body).ok()?;
+        } else if message.header("connection") == Some("close") && message.first.starts_with("HTTP/") {
+            from.read_to_end(&mut message.body).ok()?;
+        }
+        Some(message)
+    }
+
+    fn read_chunks(mut self, from: &mut impl BufRead) -> Option<Message> {
+        loop {
+            let mut line = String::new();
+            from.read_line(&mut line).ok()?;
+            let length = usize::from_str_radix(line.trim_end().split(';').next()?, 16).ok()?;
+            let start = self.body.len();
+            self.body.resize(start + length, 0);
+            from.read_exact(&mut self.body[start..]).ok()?;
+            line.clear();
+            from.read_line(&mut line).ok()?;
+            if length == 0 {
+                return Some(self);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/tests/support/mod.rs
@@ -0,0 +1,23 @@
+//! Scripted peers on loopback: the node under test, upstream servers, discovery, and clients.
+
+mod bodies;
+mod client;
+mod command;
+mod connections;
+mod discovery;
+mod message;
+mod node;
+mod requests;
+mod upstream;
+mod wait;
+
+pub use bodies::*;
+pub use client::*;
+pub use command::*;
+pub use connections::*;
+pub use discovery::*;
+pub use message::*;
+pub use node::*;
+pub use requests::*;
+pub use upstream::*;
+pub use wait::*;
