--- a/tests/support/command.rs
+++ b/tests/support/command.rs
@@ -1,7 +1,7 @@
 //! The program under test, its configuration and its state directory.
 
 use std::os::fd::AsFd;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -30,8 +30,13 @@
 
 /// The program with a listening socket as descriptor 5.
 pub fn command_with_inherited_socket(socket: &impl AsFd) -> Command {
+    inheriting_command(env!("CARGO_BIN_EXE_mothspool").as_ref(), socket)
+}
+
+/// This program, which may be another version's, with a listening socket as descriptor 5.
+pub fn inheriting_command(program: &Path, socket: &impl AsFd) -> Command {
     let mut shell = Command::new("sh");
-    shell.args(["-c", "exec \"$0\" 5<&0 0</dev/null", env!("CARGO_BIN_EXE_mothspool")]);
+    shell.args(["-c", "exec \"$0\" 5<&0 0</dev/null"]).arg(program);
     shell.stdin(socket.as_fd().try_clone_to_owned().unwrap());
     shell.stdout(Stdio::null()).stderr(Stdio::piped()).env("GW_PASSED_SOCKET", "5");
     shell
--- a/tests/support/node.rs
+++ b/tests/support/node.rs
@@ -127,7 +127,19 @@
         state_dir: &Path,
         sockets: usize,
     ) -> Node {
-        let launch = Launch::with_admin(command_with_inherited_socket(listener), state_dir, sockets);
+        let program = env!("CARGO_BIN_EXE_mothspool").as_ref();
+        Node::with_program(program, endpoints, listener, state_dir, sockets)
+    }
+
+    /// The same with this program, which may be another version's.
+    pub fn with_program(
+        program: &Path,
+        endpoints: &[Value],
+        listener: &TcpListener,
+        state_dir: &Path,
+        sockets: usize,
+    ) -> Node {
+        let launch = Launch::with_admin(inheriting_command(program, listener), state_dir, sockets);
         let mut node = launch.start(endpoints, |_| {});
         node.address = listener.local_addr().unwrap();
         node
