--- a/src/node/downstream/request.rs
+++ b/src/node/downstream/request.rs
@@ -85,7 +85,8 @@
         Some(xxhash_rust::xxh3::xxh3_64(part.as_bytes()))
     }
 
-    /// The request as it is sent to endpoints. `buffered_at` is when the last byte was received, if the body is buffered.
+    /// The request as it is sent to endpoints. `buffered_at` is when the last byte was received, if the body is
+    /// buffered.
     pub fn into_upstream_request(self, body: RequestBody, buffered_at: Instant) -> UpstreamRequest {
         let target = self.uri.path_and_query().cloned().unwrap_or(PathAndQuery::from_static("/"));
         let mut headers = self.headers;
--- /dev/null
+++ b/tests/node/reload.rs
@@ -0,0 +1,82 @@
+//! Reload of the configuration on SIGHUP.
+
+use std::net::TcpListener;
+use std::time::{Duration, Instant};
+
+use crate::support::*;
+
+#[test]
+fn sighup_moves_the_watch_and_keeps_requests_and_list() {
+    let (one, two) = (UpstreamServer::new(|_, _| Reply::Never), UpstreamServer::new(|_, _| ok("two")));
+    let node = Node::start(&[ready_endpoint("a", &one)]);
+    let mut watch = Watch::accept(&node.discovery);
+    watch.send_delta(57, &[]);
+    let mut waiting = node.client();
+    waiting.send(&request("POST", "/order/1", "9", "", "yen"));
+    one.next_request();
+    // This file is invalid: the node keeps its configuration.
+    node.reload_config("{\"name\": 3}");
+    watch.send_delta(58, &[endpoint_entry("a", one.address, 1, "draining"), ready_endpoint("b", &two)]);
+    while node.client().exchange(&view_request()).status() != 200 {}
+    // The first request is still active: it has lost neither its endpoint nor its client.
+    let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
+    node.reload_config(&node.config_with_discovery(&elsewhere));
+    let mut moved = Watch::accept(&elsewhere);
+    assert_eq!(moved.request.start_line, "GET /catalog/members?watch=1&from=58 HTTP/1.1");
+    assert_eq!(node.client().exchange(&view_request()).body, b"two", "the list stays");
+    moved.send_delta(59, &[endpoint_entry("b", two.address, 1, "gone")]);
+    two.next_closed_connection();
+    assert_eq!(waiting.receive().status(), 504);
+}
+
+/// Writes to the log fail then.
+#[test]
+fn a_closed_log_pipe_does_not_stop_the_node() {
+    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let node = Node::with_closed_log(&[ready_endpoint("a", &upstream)]);
+    let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
+    node.reload_config("{\"name\": 3}");
+    node.reload_config(&node.config_with_discovery(&elsewhere));
+    drop(Watch::accept(&elsewhere));
+    Watch::accept(&elsewhere).keep_alive();
+    assert_eq!(node.client().exchange(&view_request()).body, b"slip");
+}
+
+/// Where lists are polled, the backoff between calls grows; a new address does not wait for it.
+#[test]
+fn polling_follows_a_new_discovery_address_at_once() {
+    let upstream = UpstreamServer::new(|_, _| ok("known"));
+    let node = Node::with_config(&[ready_endpoint("a", &upstream)], |config| {
+        config["settings"]["discovery"] = "subscribe".into();
+        config["settings"]["obligations"]["ask_every_us"] = 20_000_000.into();
+    });
+    for _ in 0..4 {
+        drop(Watch::accept(&node.discovery));
+    }
+    let moved = TcpListener::bind("127.0.0.1:0").unwrap();
+    node.reload_config(&node.config_with_discovery(&moved));
+    let signalled_at = Instant::now();
+    Watch::accept(&moved).keep_alive();
+    assert!(signalled_at.elapsed() < Duration::from_millis(3500), "{:?}", signalled_at.elapsed());
+    assert!(serves_every_class(&node, "known"));
+}
+
+#[test]
+fn sighup_drops_a_partially_read_list() {
+    let (known, other) = (UpstreamServer::new(|_, _| ok("known")), UpstreamServer::new(|_, _| ok("other")));
+    let node = Node::start(&[ready_endpoint("a", &known)]);
+    let mut old = Watch::accept(&node.discovery);
+    let indented =
+        serde_json::to_string_pretty(&list_message(70, true, &[ready_endpoint("b", &other)])).unwrap();
+    let (first, rest) = indented.split_at(indented.len() / 2);
+    old.send_line(first);
+    let moved = TcpListener::bind("127.0.0.1:0").unwrap();
+    node.reload_config(&node.config_with_discovery(&moved));
+    let mut new = Watch::accept(&moved);
+    assert_eq!(new.request.start_line, "GET /catalog/members?watch=1&from=41 HTTP/1.1");
+    // The node may have closed the old watch by now.
+    old.try_send_line(rest);
+    assert!(serves_every_class(&node, "known"));
+    new.send_delta(60, &[endpoint_entry("a", known.address, 1, "draining"), ready_endpoint("c", &other)]);
+    wait_until("the change applies", || serves_every_class(&node, "other"));
+}
--- /dev/null
+++ b/tests/support/node.rs
@@ -0,0 +1,246 @@
+//! The node under test: a process with its discovery listener.
+
+use std::io::{BufRead, BufReader};
+use std::net::{SocketAddr, TcpListener};
+use std::path::Path;
+use std::process::{Child, ChildStderr, Command, ExitStatus, Stdio};
+use std::thread;
+
+use serde_json::{Value, json};
+
+use crate::support::*;
+
+/// `limits.sockets` of a node whose test is not about it.
+const DEFAULT_SOCKETS: usize = 1024;
+
+/// How a node is started.
+struct Launch {
+    command: Command,
+    sockets: usize,
+    admin: bool,
+}
+
+impl Launch {
+    fn new(command: Command) -> Launch {
+        Launch { command, sockets: DEFAULT_SOCKETS, admin: false }
+    }
+
+    /// With the admin API and this directory for the state file.
+    fn with_admin(mut command: Command, state_dir: &Path, sockets: usize) -> Launch {
+        command.env("TMPDIR", state_dir);
+        Launch { command, sockets, admin: true }
+    }
+
+    /// Starts the node and reads its log to the end, so that it never blocks on it.
+    fn start(self, endpoints: &[Value], change: impl FnOnce(&mut Value)) -> Node {
+        let (node, mut log) = self.start_with_log(endpoints, change);
+        thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
+        node
+    }
+
+    /// Starts the node and waits until it listens; the rest of its log is the caller's to read.
+    fn start_with_log(
+        mut self,
+        endpoints: &[Value],
+        change: impl FnOnce(&mut Value),
+    ) -> (Node, BufReader<ChildStderr>) {
+        let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
+        let mut config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
+            "discovery": discovery.local_addr().unwrap().to_string(),
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
+            "known": list_message(41, true, endpoints), "settings": settings()});
+        if self.admin {
+            config["operator"] = "127.0.0.1:0".into();
+        }
+        change(&mut config);
+        let path = write_config(&config.to_string());
+        let mut child = self.command.env("GW_CONFIG", &path).spawn().unwrap();
+        let mut log = BufReader::new(child.stderr.take().unwrap());
+        let mut logged_address = || {
+            let mut line = String::new();
+            log.read_line(&mut line).unwrap();
+            line.trim().rsplit(' ').next().unwrap().parse().expect(&line)
+        };
+        let address = logged_address();
+        let admin = self.admin.then(logged_address);
+        (Node { address, admin, discovery, config, path, child }, log)
+    }
+}
+
+/// A node process with its discovery listener; killed when dropped.
+pub struct Node {
+    /// Where it accepts clients.
+    pub address: SocketAddr,
+    /// Where it accepts calls of the admin API, if it does.
+    admin: Option<SocketAddr>,
+    /// Where it opens its watch.
+    pub discovery: TcpListener,
+    config: Value,
+    path: String,
+    child: Child,
+}
+
+impl Node {
+    /// A node that knows these endpoints from its configuration.
+    pub fn start(endpoints: &[Value]) -> Node {
+        Node::with_config(endpoints, |_| {})
+    }
+
+    /// A node whose configuration is changed before the start.
+    pub fn with_config(endpoints: &[Value], change: impl FnOnce(&mut Value)) -> Node {
+        Launch::new(node_command()).start(endpoints, change)
+    }
+
+    /// A node with this limit of sockets in its configuration.
+    pub fn with_sockets(endpoints: &[Value], sockets: usize) -> Node {
+        Launch { sockets, ..Launch::new(node_command()) }.start(endpoints, |_| {})
+    }
+
+    /// A node whose process gets no more than this many descriptors, whatever its configuration says.
+    pub fn with_descriptor_limit(endpoints: &[Value], descriptors: usize) -> Node {
+        let mut shell = Command::new("sh");
+        let script = format!("ulimit -n {descriptors}; exec \"$0\"");
+        shell.args(["-c", &script, env!("CARGO_BIN_EXE_mothspool")]);
+        shell.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+        Launch::new(shell).start(endpoints, |_| {})
+    }
+
+    /// A node with the admin API.
+    pub fn with_admin(endpoints: &[Value], sockets: usize, state_dir: &Path) -> Node {
+        Launch::with_admin(node_command(), state_dir, sockets).start(endpoints, |_| {})
+    }
+
+    /// A node with the admin API whose configuration is changed before the start.
+    pub fn with_admin_config(endpoints: &[Value], state_dir: &Path, change: impl FnOnce(&mut Value)) -> Node {
+        Launch::with_admin(node_command(), state_dir, DEFAULT_SOCKETS).start(endpoints, change)
+    }
+
+    /// A process that inherits its listening socket, with the admin API.
+    pub fn with_inherited_listener(endpoints: &[Value], listener: &TcpListener, state_dir: &Path) -> Node {
+        Node::with_inherited_listener_and_sockets(endpoints, listener, state_dir, DEFAULT_SOCKETS)
+    }
+
+    /// The same with this limit of sockets in its configuration.
+    pub fn with_inherited_listener_and_sockets(
+        endpoints: &[Value],
+        listener: &TcpListener,
+        state_dir: &Path,
+        sockets: usize,
+    ) -> Node {
+        let program = env!("CARGO_BIN_EXE_mothspool").as_ref();
+        Node::with_program(program, endpoints, listener, state_dir, sockets)
+    }
+
+    /// The same with this program, which may be another version's.
+    pub fn with_program(
+        program: &Path,
+        endpoints: &[Value],
+        listener: &TcpListener,
+        state_dir: &Path,
+        sockets: usize,
+    ) -> Node {
+        let launch = Launch::with_admin(inheriting_command(program, listener), state_dir, sockets);
+        let mut node = launch.start(endpoints, |_| {});
+        node.address = listener.local_addr().unwrap();
+        node
+    }
+
+    /// A node whose log has no reader any more.
+    pub fn with_closed_log(endpoints: &[Value]) -> Node {
+        Launch::new(node_command()).start_with_log(endpoints, |_| {}).0
+    }
+
+    /// A client's connection.
+    pub fn client(&self) -> Connection {
+        Connection::open(self.address)
+    }
+
+    /// A connection to the admin API.
+    pub fn admin_client(&self) -> Connection {
+        Connection::open(self.admin.expect("an address of the admin API"))
+    }
+
+    /// A call of the admin API.
+    pub fn admin_request(&self, method: &str, path: &str, body: &str) -> Message {
+        self.admin_client().exchange(&admin_request(method, path, body))
+    }
+
+    /// The body of the admin API's status.
+    pub fn admin_status(&self) -> Value {
+        let response = self.admin_request("GET", "/status", "");
+        serde_json::from_slice(&response.body).expect(&response.start_line)
+    }
+
+    /// Calls `enter` or `exit` of maintenance for an endpoint; the status of the response.
+    pub fn set_maintenance(&self, change: &str, uid: &str) -> u16 {
+        let body = json!({ "host": uid }).to_string();
+        self.admin_request("POST", &format!("/maintenance/{change}"), &body).status()
+    }
+
+    /// The status that the load balancer in front gets for its health check.
+    pub fn health(&self) -> u16 {
+        self.client().exchange(HEALTH_REQUEST).status()
+    }
+
+    /// The configuration with this address of discovery.
+    pub fn config_with_discovery(&self, discovery: &TcpListener) -> String {
+        let mut config = self.config.clone();
+        config["discovery"] = discovery.local_addr().unwrap().to_string().into();
+        config.to_string()
+    }
+}
+
+/// The process: signals, resources, exit.
+impl Node {
+    /// Sends SIGTERM.
+    pub fn terminate(&self) {
+        self.signal("-TERM");
+    }
+
+    /// Replaces the configuration file and sends SIGHUP.
+    pub fn reload_config(&self, text: &str) {
+        std::fs::write(&self.path, text).unwrap();
+        self.signal("-HUP");
+    }
+
+    fn signal(&self, signal: &str) {
+        Command::new("kill").args([signal, &self.child.id().to_string()]).status().unwrap();
+    }
+
+    /// How many descriptors the process has open.
+    pub fn open_descriptors(&self) -> usize {
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
+    }
+
+    /// Lowers the process's limit of descriptors to those that are open.
+    pub fn exhaust_descriptors(&self) {
+        let is_open = |n: &usize| Path::new(&format!("/proc/{}/fd/{n}", self.child.id())).is_symlink();
+        let lowest_free = (0..).find(|n| !is_open(n)).unwrap();
+        let args = ["--pid".into(), self.child.id().to_string(), format!("--nofile={lowest_free}")];
+        assert!(Command::new("prlimit").args(args).status().unwrap().success());
+    }
+
+    /// The most memory that the process has had resident, in bytes.
+    pub fn peak_memory(&self) -> usize {
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
+        let line = status.lines().find(|line| line.starts_with("VmHWM")).unwrap();
+        line.split_whitespace().nth(1).unwrap().parse::<usize>().unwrap() << 10
+    }
+
+    /// Sends SIGKILL.
+    pub fn kill(&mut self) {
+        self.child.kill().unwrap();
+    }
+
+    /// Waits until the process ends by itself.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        self.child.wait().unwrap()
+    }
+}
+
+impl Drop for Node {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
