--- /dev/null
+++ b/src/node/admin/listener.rs
@@ -0,0 +1,103 @@
+//! Accepts callers of the admin API and serves one request on each connection.
+
+use std::cell::Cell;
+use std::collections::VecDeque;
+use std::convert::Infallible;
+use std::rc::Rc;
+use std::time::Duration;
+
+use hyper::Request;
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper_util::rt::{TokioIo, TokioTimer};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::{sleep, timeout};
+use tokio_util::task::AbortOnDropHandle;
+
+use super::commands::{CommandError, REQUEST_TIMEOUT, Route, read_body};
+use super::responses::{AdminResponse, reject};
+use super::service::AdminService;
+use crate::config::MAX_CALLS;
+use crate::net::DownstreamSocket;
+
+/// How long a connection may last, until the caller has read its response.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// How long accepting pauses when it fails, for want of descriptors as a rule.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
+
+/// A caller's connection.
+struct Caller {
+    /// Whether its request has been read.
+    request_read: Rc<Cell<bool>>,
+    /// Serves the connection; dropped, it ends it.
+    task: AbortOnDropHandle<()>,
+}
+
+/// The open connections, oldest first, no more than there are descriptors set aside for.
+#[derive(Default)]
+struct Callers(VecDeque<Caller>);
+
+impl Callers {
+    /// Takes in a new connection; if there are too many, another one is closed.
+    fn admit(&mut self, stream: TcpStream, service: Rc<AdminService>) {
+        self.0.retain(|caller| !caller.task.is_finished());
+        if self.0.len() >= MAX_CALLS {
+            self.evict_one();
+        }
+        let request_read = Rc::new(Cell::new(false));
+        let task = tokio::task::spawn_local(serve_connection(stream, service, request_read.clone()));
+        self.0.push_back(Caller { request_read, task: AbortOnDropHandle::new(task) });
+    }
+
+    /// Closes the connection that has been silent for longest. Callers whose request has been read are owed a
+    /// response; only where there are no others does the oldest of them go.
+    fn evict_one(&mut self) {
+        let longest_silent = self.0.iter().position(|caller| !caller.request_read.get());
+        self.0.remove(longest_silent.unwrap_or(0));
+    }
+}
+
+/// Serves the admin API on `listener` for as long as the process runs.
+pub async fn listen(listener: TcpListener, service: Rc<AdminService>) {
+    let mut callers = Callers::default();
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => callers.admit(stream, service.clone()),
+            Err(_) => sleep(ACCEPT_BACKOFF).await,
+        }
+    }
+}
+
+/// Serves one request. `request_read` is set once it has been read.
+async fn serve_connection(stream: TcpStream, service: Rc<AdminService>, request_read: Rc<Cell<bool>>) {
+    let (socket, observer) = DownstreamSocket::new(stream);
+    let respond = service_fn(|request: Request<Incoming>| {
+        let (service, request_read, observer) = (service.clone(), request_read.clone(), observer.clone());
+        async move {
+            let response =
+                handle(request, &service, &request_read).await.unwrap_or_else(|error| reject(&error));
+            if response.status().is_client_error() {
+                // The caller may still be sending.
+                observer.linger();
+            }
+            Ok::<_, Infallible>(response)
+        }
+    });
+    let mut builder = http1::Builder::new();
+    builder.timer(TokioTimer::new()).header_read_timeout(REQUEST_TIMEOUT).keep_alive(false);
+    // A caller that breaks off gets no response; there is nothing to do about an error.
+    let _ = timeout(CONNECTION_TIMEOUT, builder.serve_connection(TokioIo::new(socket), respond)).await;
+}
+
+async fn handle(
+    request: Request<Incoming>,
+    service: &AdminService,
+    request_read: &Cell<bool>,
+) -> Result<AdminResponse, CommandError> {
+    let route = Route::of(&request)?;
+    let body = read_body(request.into_body()).await?;
+    request_read.set(true);
+    service.execute(route.command(&body)?).await
+}
--- /dev/null
+++ b/src/node/admin/responses.rs
@@ -0,0 +1,60 @@
+//! The responses of the admin API.
+
+use std::collections::BTreeSet;
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::{self, HeaderValue};
+use hyper::{Response, StatusCode};
+use serde_json::json;
+
+use super::commands::CommandError;
+
+/// A complete response.
+pub type AdminResponse = Response<Full<Bytes>>;
+
+/// How the node is.
+pub struct NodeStatus {
+    /// The phase's name.
+    pub phase: &'static str,
+    /// Whether the node can serve requests, now or once before.
+    pub ready: bool,
+    /// The uids of the endpoints in maintenance.
+    pub maintenance: BTreeSet<String>,
+}
+
+/// A response that shows how the node is.
+pub fn show(status: StatusCode, node: &NodeStatus) -> AdminResponse {
+    let body = json!({"phase": node.phase, "able": node.ready, "maintenance": node.maintenance});
+    let mut response = respond(status, format!("{body}\n"));
+    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
+}
+
+/// The response to a command that was not carried out.
+pub fn reject(error: &CommandError) -> AdminResponse {
+    let mut response = respond(status_of(error), format!("{error}\n"));
+    if let CommandError::WrongMethod { allowed } = error
+        && let Ok(allowed) = HeaderValue::from_str(allowed.as_str())
+    {
+        response.headers_mut().insert(header::ALLOW, allowed);
+    }
+    response
+}
+
+fn respond(status: StatusCode, body: String) -> AdminResponse {
+    let mut response = Response::new(Full::from(body));
+    *response.status_mut() = status;
+    response
+}
+
+fn status_of(error: &CommandError) -> StatusCode {
+    match error {
+        CommandError::UnknownPath | CommandError::UnknownEndpoint => StatusCode::NOT_FOUND,
+        CommandError::WrongMethod { .. } => StatusCode::METHOD_NOT_ALLOWED,
+        CommandError::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+        CommandError::BodyBroken | CommandError::MalformedBody => StatusCode::BAD_REQUEST,
+        CommandError::BodyTimedOut => StatusCode::REQUEST_TIMEOUT,
+        CommandError::StateNotWritten(_) => StatusCode::INTERNAL_SERVER_ERROR,
+    }
+}
--- /dev/null
+++ b/src/node/admin/service.rs
@@ -0,0 +1,109 @@
+//! Carries out operators' commands, of this process or of another one of the node.
+
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+use hyper::StatusCode;
+use tokio::time::sleep;
+
+use super::commands::{Command, CommandError};
+use super::responses::{AdminResponse, NodeStatus, show};
+use crate::engine::EngineHandle;
+use crate::lifecycle::Lifecycle;
+use crate::log::ErrorChain;
+use crate::protocol::endpoint_list::id_of;
+use crate::state_store::{AdminState, StateStore};
+
+/// How long a response waits for the node's other process to have read the new state: two poll intervals of
+/// [`crate::state_store::POLL_INTERVAL`], and a little for its work.
+const PROPAGATION_TIME: Duration = Duration::from_millis(120);
+
+/// Changes the state of the node as operators command, and brings this process in line with it.
+pub struct AdminService {
+    store: Rc<StateStore>,
+    /// The state that the life cycle and the engine go by.
+    applied: RefCell<AdminState>,
+    lifecycle: Rc<Lifecycle>,
+    engine: EngineHandle,
+}
+
+impl AdminService {
+    /// A service over the state in `store`, which is applied at once.
+    pub fn new(store: Rc<StateStore>, lifecycle: Rc<Lifecycle>, engine: EngineHandle) -> AdminService {
+        let service = AdminService { store, applied: RefCell::default(), lifecycle, engine };
+        service.reconcile();
+        service
+    }
+
+    /// Brings the life cycle and the engine in line with the state as last read or written.
+    pub fn reconcile(&self) {
+        let state = self.store.state();
+        let applied = self.applied.replace(state.clone());
+        self.lifecycle.set_standby(state.standby);
+        for (uid, returned_at) in &state.returned_at {
+            if applied.returned_at.get(uid) != Some(returned_at) {
+                self.engine.exit_maintenance(id_of(uid), *returned_at);
+            }
+        }
+        for uid in &state.maintenance {
+            self.engine.enter_maintenance(id_of(uid));
+        }
+    }
+
+    /// Carries out a command. The response is successful once all processes of the node go by it.
+    pub async fn execute(&self, command: Command) -> Result<AdminResponse, CommandError> {
+        match command {
+            Command::Status => return Ok(self.show_status()),
+            Command::EnterStandby => self.update(|state| state.standby = true).await?,
+            Command::ExitStandby => self.update(|state| state.standby = false).await?,
+            Command::EnterMaintenance { uid } => {
+                self.check_known(&uid)?;
+                self.update(|state| state.enter_maintenance(uid)).await?;
+            }
+            Command::ExitMaintenance { uid } => {
+                self.check_known(&uid)?;
+                self.update(|state| state.exit_maintenance(&uid, unix_time())).await?;
+            }
+        }
+        Ok(show(StatusCode::OK, &self.node_status()))
+    }
+
+    /// Changes the state, and returns once all processes go by it.
+    async fn update(&self, change: impl FnOnce(&mut AdminState)) -> Result<(), CommandError> {
+        if let Err(error) = self.store.update(change).await {
+            log!("a command was not carried out: {}", ErrorChain(&error));
+            return Err(CommandError::StateNotWritten(error));
+        }
+        self.reconcile();
+        sleep(PROPAGATION_TIME).await;
+        Ok(())
+    }
+
+    /// An endpoint that is in maintenance may have been named to an earlier process only.
+    fn check_known(&self, uid: &str) -> Result<(), CommandError> {
+        if self.store.state().maintenance.contains(uid) || self.engine.is_known(id_of(uid)) {
+            Ok(())
+        } else {
+            Err(CommandError::UnknownEndpoint)
+        }
+    }
+
+    fn show_status(&self) -> AdminResponse {
+        let status = if self.lifecycle.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+        show(status, &self.node_status())
+    }
+
+    fn node_status(&self) -> NodeStatus {
+        NodeStatus {
+            phase: self.lifecycle.phase_name(),
+            ready: self.lifecycle.is_ready(),
+            maintenance: self.store.state().maintenance,
+        }
+    }
+}
+
+/// The time since the Unix epoch.
+fn unix_time() -> Duration {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+}
--- a/src/node/downstream/mod.rs
+++ b/src/node/downstream/mod.rs
@@ -1,5 +1,7 @@
 //! The clients' side: connections, what a request must look like, and its one final answer.
 
+mod client_connections;
+
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::convert::Infallible;
--- a/src/node/lifecycle.rs
+++ b/src/node/lifecycle/mod.rs
@@ -1,4 +1,10 @@
-//! The life cycle of the process: which phase it is in, and what that means for its clients.
+//! The life cycle of the process: serving, standby, graceful shutdown and hot restart.
+//!
+//! [`Lifecycle`] is the state: the phase, readiness and the shutdown deadline. Connections, the health check and the
+//! admin API go by it. [`HotRestart`] and [`GracefulShutdown`] drive it.
+
+mod hot_restart;
+mod shutdown;
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,6 +14,9 @@
 
 use crate::upstream::UpstreamPool;
 
+pub use hot_restart::HotRestart;
+pub use shutdown::GracefulShutdown;
+
 /// What the node does with its clients. In all phases it serves those that come; in all but the first it closes each
 /// connection with its next response.
 #[derive(Clone, Copy, PartialEq)]
@@ -15,7 +24,7 @@
     Serving,
     /// Operators want the node empty: clients are to stay away, and idle connections are closed.
     Standby,
-    /// It was told to shut down, and `successor` says whether another process has its listening socket.
+    /// The process shuts down. `successor` says whether another process has its listening socket.
     Draining {
         successor: Option<Successor>,
     },
@@ -28,18 +37,39 @@
     standby: bool,
 }
 
+/// How far the start of the process has come.
+#[derive(Clone, Copy, PartialEq)]
+enum Readiness {
+    /// A predecessor may still hold the descriptors that this process needs.
+    AwaitingDescriptors,
+    /// No endpoint is ready yet.
+    AwaitingEndpoint,
+    /// The process has been able to serve at some time; from then on it stays ready.
+    Ready,
+}
+
+/// The connections of clients, as the life cycle drives them.
+pub trait ClientConnections {
+    /// Keeps to half of the node's descriptors while `shared`, to all of them otherwise. Connections beyond the limit
+    /// are closed as soon as they are idle.
+    fn share_descriptors(&self, shared: bool);
+
+    /// Whether there are more connections than the limit, those that are about to close included.
+    fn exceeds_limit(&self) -> bool;
+
+    /// Closes connections as soon as they are idle, and waits until all are closed.
+    async fn drain(&self);
+}
+
 /// The phase of the process, whether it is ready to serve, and its shutdown deadline.
 pub struct Lifecycle {
     upstream: Rc<UpstreamPool>,
     phase: Cell<Phase>,
-    /// Whether the process has been ready at some time; from then on it stays so.
-    ready: Cell<bool>,
-    /// Whether a predecessor may still hold the descriptors that this process needs.
-    awaiting_descriptors: Cell<bool>,
+    readiness: Cell<Readiness>,
     /// Notified whenever standby was switched on or off.
     standby_changed: Notify,
     /// Cancelled at the shutdown deadline.
-    deadline: CancellationToken,
+    shutdown_deadline: CancellationToken,
 }
 
 impl Lifecycle {
@@ -48,28 +78,32 @@
         Lifecycle {
             upstream,
             phase: Cell::new(Phase::Serving),
-            ready: Cell::new(false),
-            awaiting_descriptors: Cell::new(false),
+            readiness: Cell::new(Readiness::AwaitingEndpoint),
             standby_changed: Notify::new(),
-            deadline: CancellationToken::new(),
+            shutdown_deadline: CancellationToken::new(),
         }
     }
 
-    /// Keeps the process from becoming ready until [`Lifecycle::descriptors_available`] is called.
+    /// Keeps a process that is not ready yet from becoming so until [`Lifecycle::descriptors_available`] is called.
     pub fn await_descriptors(&self) {
-        self.awaiting_descriptors.set(true);
+        if self.readiness.get() == Readiness::AwaitingEndpoint {
+            self.readiness.set(Readiness::AwaitingDescriptors);
+        }
     }
 
     /// The process has its part of the node's descriptors.
     pub fn descriptors_available(&self) {
-        self.awaiting_descriptors.set(false);
+        if self.readiness.get() == Readiness::AwaitingDescriptors {
+            self.readiness.set(Readiness::AwaitingEndpoint);
+        }
     }
 
     /// Whether requests can be served, now or once before.
     pub fn is_ready(&self) -> bool {
-        let ready_now = || !self.awaiting_descriptors.get() && self.upstream.has_ready_endpoint();
-        self.ready.set(self.ready.get() || ready_now());
-        self.ready.get()
+        if self.readiness.get() == Readiness::AwaitingEndpoint && self.upstream.has_ready_endpoint() {
+            self.readiness.set(Readiness::Ready);
+        }
+        self.readiness.get() == Readiness::Ready
     }
 
     /// Whether the health check of the front is answered with success: the node takes new clients, in this process
@@ -122,23 +156,23 @@
 
     /// Begins the graceful shutdown: from now on each response closes its connection. `has_successor` tells whether
     /// another process accepts new connections on the same listening socket.
-    pub fn begin_shutdown(&self, has_successor: bool) {
+    fn begin_shutdown(&self, has_successor: bool) {
         let standby = self.is_standby();
         self.phase.set(Phase::Draining { successor: has_successor.then_some(Successor { standby }) });
     }
 
     /// The shutdown deadline has come: whatever still waits for a response gets one at once.
-    pub fn expire_shutdown_deadline(&self) {
-        self.deadline.cancel();
+    fn expire_shutdown_deadline(&self) {
+        self.shutdown_deadline.cancel();
     }
 
     /// Whether the shutdown deadline has passed.
     pub fn is_past_shutdown_deadline(&self) -> bool {
-        self.deadline.is_cancelled()
+        self.shutdown_deadline.is_cancelled()
     }
 
     /// Waits for the shutdown deadline.
     pub async fn shutdown_deadline(&self) {
-        self.deadline.cancelled().await;
+        self.shutdown_deadline.cancelled().await;
     }
 }
--- a/src/node/log.rs
+++ b/src/node/log.rs
@@ -1,5 +1,8 @@
 //! The node's log: standard error.
 
+use std::error::Error;
+use std::fmt;
+
 /// Writes a line to the log. Whoever reads it may have gone; `eprintln!` would end the node then.
 macro_rules! log {
     ($($line:tt)*) => {{
@@ -7,3 +10,18 @@
         let _ = writeln!(std::io::stderr(), "mothspool: {}", format_args!($($line)*));
     }};
 }
+
+/// Writes an error and, behind it, the errors that caused it, separated by colons.
+pub struct ErrorChain<'a>(pub &'a dyn Error);
+
+impl fmt::Display for ErrorChain<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}", self.0)?;
+        let mut cause = self.0.source();
+        while let Some(error) = cause {
+            write!(f, ": {error}")?;
+            cause = error.source();
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/src/node/startup/mod.rs
@@ -0,0 +1,161 @@
+//! Starts a node: reads the configuration, opens the listeners, builds the parts and starts their tasks.
+
+mod error;
+mod listeners;
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use mothspool::Balancer;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::sync::{Notify, watch};
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+use self::listeners::{Listeners, local_address};
+use crate::admin::{self, AdminService};
+use crate::body::BufferBudget;
+use crate::config::Config;
+use crate::discovery;
+use crate::downstream::DownstreamServer;
+use crate::engine::{Engine, EngineHandle};
+use crate::lifecycle::{GracefulShutdown, HotRestart, Lifecycle};
+use crate::reload;
+use crate::state_store::StateStore;
+use crate::upstream::UpstreamPool;
+
+pub use error::StartError;
+
+/// The environment variable that names the configuration file.
+const CONFIG_VARIABLE: &str = "GW_CONFIG";
+
+/// How often a process beside another one checks whether it is ready to accept connections.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
+
+/// The signals that the node handles.
+pub struct Signals {
+    /// SIGHUP: read the configuration again.
+    pub hang_up: Signal,
+    /// SIGTERM: shut down.
+    pub terminate: Signal,
+}
+
+impl Signals {
+    /// Handles the signals from now on. Unhandled, each of them ends the process.
+    pub fn handle() -> Result<Signals, StartError> {
+        let handle = |name, kind| signal(kind).map_err(|source| StartError::Signal { name, source });
+        Ok(Signals {
+            hang_up: handle("SIGHUP", SignalKind::hangup())?,
+            terminate: handle("SIGTERM", SignalKind::terminate())?,
+        })
+    }
+}
+
+/// Starts a node, on the `inherited` listener if there is one, and returns what shuts it down. Its tasks run on the
+/// current [`tokio::task::LocalSet`].
+pub async fn start(
+    inherited: Option<std::net::TcpListener>,
+    hang_up: Signal,
+) -> Result<GracefulShutdown<DownstreamServer>, StartError> {
+    let path = std::env::var(CONFIG_VARIABLE).map_err(|_| StartError::NoConfigFile)?;
+    let config = match Config::read(&path) {
+        Ok(config) => Rc::new(config),
+        Err(source) => return Err(StartError::Config { path, source }),
+    };
+    let shares_listener = inherited.is_some();
+    let listeners = Listeners::open(&config, inherited).await?;
+    log!("{} listens on {}", config.name, local_address("listen", &listeners.downstream)?);
+    let node = Node::build(config, shares_listener, path, hang_up)?;
+    if let Some(listener) = listeners.admin {
+        node.start_admin(listener)?;
+    }
+    let swept = node.downstream.clone();
+    spawn_local(async move { swept.run_idle_sweep().await });
+    Ok(node.accept(listeners.downstream))
+}
+
+/// The parts that the start of the listeners needs.
+struct Node {
+    config: Rc<Config>,
+    /// Whether the listener was inherited, and another process of the node may have it too.
+    shares_listener: bool,
+    lifecycle: Rc<Lifecycle>,
+    downstream: Rc<DownstreamServer>,
+    engine: EngineHandle,
+}
+
+impl Node {
+    /// Builds the parts, and starts the tasks that need no listener.
+    fn build(
+        config: Rc<Config>,
+        shares_listener: bool,
+        path: String,
+        hang_up: Signal,
+    ) -> Result<Node, StartError> {
+        let budget = BufferBudget::new(config.memory);
+        let upstream = Rc::new(UpstreamPool::new(&config, budget.clone()));
+        let subscribe = Rc::new(Notify::new());
+        let (engine_handle, events) = EngineHandle::new(config.seed, upstream.clone());
+        let lifecycle = Rc::new(Lifecycle::new(upstream.clone()));
+        let balancer = Balancer::new(config.settings.clone(), config.seed)?;
+        let engine = Engine::new(balancer, upstream.clone(), engine_handle.clone(), subscribe.clone());
+        spawn_local(engine.run(events));
+        let swept = upstream.clone();
+        spawn_local(async move { swept.run_idle_sweep().await });
+        let (discovery_moved, discovery_address) = watch::channel(config.discovery);
+        spawn_local(reload::follow(path, hang_up, discovery_moved));
+        spawn_local(discovery::follow(config.clone(), discovery_address, engine_handle.clone(), subscribe));
+        let downstream = Rc::new(DownstreamServer::new(
+            config.clone(),
+            engine_handle.clone(),
+            upstream,
+            lifecycle.clone(),
+            budget,
+        ));
+        Ok(Node { config, shares_listener, lifecycle, downstream, engine: engine_handle })
+    }
+
+    /// Starts the admin API, and what depends on the state that it writes.
+    fn start_admin(&self, listener: TcpListener) -> Result<(), StartError> {
+        log!("{} has its admin API on {}", self.config.name, local_address("operator", &listener)?);
+        let store = Rc::new(StateStore::open(&std::env::temp_dir(), &self.config.name));
+        if self.shares_listener {
+            self.lifecycle.await_descriptors();
+        }
+        let service = Rc::new(AdminService::new(store.clone(), self.lifecycle.clone(), self.engine.clone()));
+        let (lifecycle, connections) = (self.lifecycle.clone(), self.downstream.clone());
+        let reconciled = service.clone();
+        spawn_local(async move {
+            let hot_restart = HotRestart::register(store, lifecycle, connections).await;
+            hot_restart.run(move || reconciled.reconcile()).await;
+        });
+        let drained = self.downstream.clone();
+        spawn_local(async move { drained.run_standby_drain().await });
+        spawn_local(admin::listen(listener, service));
+        Ok(())
+    }
+
+    /// Starts accepting clients' connections.
+    fn accept(self, listener: TcpListener) -> GracefulShutdown<DownstreamServer> {
+        let stop_accepting = Rc::new(Notify::new());
+        let stopped = stop_accepting.clone();
+        let (lifecycle, downstream) = (self.lifecycle.clone(), self.downstream.clone());
+        let accept_task = spawn_local(async move {
+            // Clients that this process could not serve yet are left to the other one.
+            while self.shares_listener && !lifecycle.is_ready() {
+                sleep(READY_POLL_INTERVAL).await;
+            }
+            downstream.accept(listener, stopped).await;
+        });
+        GracefulShutdown {
+            lifecycle: self.lifecycle,
+            connections: self.downstream,
+            accept_task,
+            stop_accepting,
+            has_successor: self.shares_listener,
+            longest_deadline: self.config.longest(),
+            node_name: self.config.name.clone(),
+        }
+    }
+}
