--- a/src/node/admin/commands.rs
+++ b/src/node/admin/commands.rs
@@ -140,3 +140,7 @@
         Err(_) => Err(CommandError::BodyTimedOut),
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/admin_commands.rs"]
+mod tests;
--- a/src/node/lifecycle/hot_restart.rs
+++ b/src/node/lifecycle/hot_restart.rs
@@ -117,3 +117,7 @@
             || self.store.were_descriptors_released(self.own_start)
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/hot_restart.rs"]
+mod tests;
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -19,6 +19,10 @@
 mod state_store;
 mod upstream;
 
+#[cfg(test)]
+#[path = "../../tests/unit/support.rs"]
+mod unit_support;
+
 use std::process::ExitCode;
 
 use tokio::task::LocalSet;
--- a/src/node/state_store/mod.rs
+++ b/src/node/state_store/mod.rs
@@ -167,3 +167,7 @@
             .is_ok_and(|text| text.parse().is_ok_and(|released: u64| released >= start_number))
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/state_store.rs"]
+mod tests;
--- /dev/null
+++ b/tests/unit/state_store.rs
@@ -0,0 +1,101 @@
+use super::*;
+use crate::unit_support::TempFolder;
+
+/// A state file as the program's versions up to dd85554 wrote it.
+const FILE: &str = r#"{"version":1,"orders":{"starts":3,"standby":true,"maintenance":["s-0a1aeea2","s-5be2a07c"],"returned":{"s-77":1764680000000000}}}"#;
+
+fn update(store: &StateStore, change: impl FnOnce(&mut AdminState)) -> Result<(), StateError> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    runtime.block_on(store.update(change))
+}
+
+#[test]
+fn the_file_keeps_its_form() {
+    let folder = TempFolder::new();
+    fs::write(folder.0.join("dunelink-n0.json"), FILE).unwrap();
+    let store = StateStore::open(&folder.0, "n0");
+    let state = store.state();
+    assert_eq!((state.process_starts, state.standby), (3, true));
+    assert!(state.maintenance.iter().eq(["s-0a1aeea2", "s-5be2a07c"]));
+    assert!(state.returned_at.iter().eq([(&"s-77".to_string(), &1_764_680_000_000_000)]));
+    update(&store, |_| {}).unwrap();
+    assert_eq!(folder.read("dunelink-n0.json"), FILE);
+    update(&store, |state| assert_eq!(state.register_process(), 4)).unwrap();
+    assert_eq!(folder.read("dunelink-n0.json"), FILE.replace("\"starts\":3", "\"starts\":4"));
+    store.release_descriptors(5);
+    assert_eq!(folder.read("dunelink-n0.given-way"), "5");
+    assert_eq!(folder.names(), ["dunelink-n0.given-way", "dunelink-n0.json", "dunelink-n0.lock"]);
+}
+
+#[test]
+fn the_file_is_named_after_the_node() {
+    let folder = TempFolder::new();
+    update(&StateStore::open(&folder.0, "n-0/../x y"), |_| {}).unwrap();
+    assert_eq!(folder.names(), ["dunelink-n-0____x_y.json", "dunelink-n-0____x_y.lock"]);
+    let empty = r#"{"version":1,"orders":{"starts":0,"standby":false,"maintenance":[],"returned":{}}}"#;
+    assert_eq!(folder.read("dunelink-n-0____x_y.json"), empty);
+}
+
+#[test]
+fn what_another_process_writes_is_seen_once() {
+    let folder = TempFolder::new();
+    let stores = [0, 1].map(|_| StateStore::open(&folder.0, "n0"));
+    update(&stores[0], |state| state.enter_maintenance("a".into())).unwrap();
+    assert!(stores[1].refresh() && !stores[1].refresh());
+    assert_eq!(stores[1].state(), stores[0].state());
+    assert!(!stores[0].refresh(), "its own");
+    fs::remove_file(folder.0.join("dunelink-n0.json")).unwrap();
+    assert!(!stores[1].refresh());
+    assert!(stores[1].state().maintenance.contains("a"), "without a file the last state holds");
+}
+
+#[test]
+fn an_error_names_its_cause_and_changes_nothing() {
+    let folder = TempFolder::new();
+    let store = StateStore::open(&folder.0, "n0");
+    let lock = File::create(folder.0.join("dunelink-n0.lock")).unwrap();
+    lock.lock().unwrap();
+    let error = update(&store, |state| state.standby = true).unwrap_err();
+    let path = folder.0.join("dunelink-n0.lock");
+    let text = format!("{} was still locked by another process after 400 ms", path.display());
+    assert_eq!(error.to_string(), text);
+    drop(lock);
+    fs::create_dir(folder.0.join("dunelink-n0.new")).unwrap();
+    let error = update(&store, |state| state.standby = true).unwrap_err();
+    assert!(matches!(error, StateError::Write { .. }), "{error}");
+    fs::remove_dir_all(&folder.0).unwrap();
+    let error = update(&store, |state| state.standby = true).unwrap_err();
+    assert!(matches!(error, StateError::Lock { .. }), "{error}");
+    assert!(!store.state().standby);
+}
+
+#[test]
+fn a_file_that_cannot_be_decoded_says_why() {
+    let fails = |text: &str| admin_state::decode(text.as_bytes()).unwrap_err();
+    for text in
+        ["", "[]", "{\"version\":1,", "{\"version\":1}", "{\"orders\":{}}", "{\"version\":1,\"orders\":{}}"]
+    {
+        assert!(matches!(fails(text), StateError::Malformed(_)), "{text}");
+    }
+    let further = FILE.replace("\"standby\"", "\"more\":1,\"standby\"");
+    assert!(matches!(fails(&further), StateError::Malformed(_)));
+    // Of another version nothing is known, nor need it be.
+    let other = fails(r#"{"version":2,"orders":[]}"#);
+    assert_eq!(other.to_string(), "the state file has version 2, supported is 1");
+}
+
+#[test]
+fn a_return_is_kept_while_the_endpoint_may_warm_up() {
+    let mut state = AdminState::default();
+    let seconds = Duration::from_secs;
+    for uid in ["a", "b"] {
+        state.enter_maintenance(uid.into());
+    }
+    state.exit_maintenance("a", seconds(1000));
+    state.exit_maintenance("a", seconds(1100));
+    assert_eq!(state.returned_at["a"], 1_000_000_000, "a second exit changes nothing");
+    state.exit_maintenance("b", seconds(1600));
+    assert!(state.returned_at.keys().eq(["b"]), "{state:?}");
+    state.enter_maintenance("b".into());
+    assert!(state.returned_at.is_empty() && state.maintenance.contains("b"));
+}
