--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -7,6 +7,8 @@
 mod operating;
 mod peers;
 mod size;
+mod startup;
+mod version_upgrade;
 
 use std::collections::{HashMap, HashSet};
 use std::io::{Read, Write};
--- a/tests/node/peers.rs
+++ b/tests/node/peers.rs
@@ -314,7 +314,18 @@
     }
 
     pub fn passed_with(targets: &[Value], listener: &TcpListener, folder: &Path, sockets: usize) -> Node {
-        let mut command = passing(listener);
+        Node::passed_to(env!("CARGO_BIN_EXE_mothspool").as_ref(), targets, listener, folder, sockets)
+    }
+
+    /// A process of a node that runs this program, which may be another version's.
+    pub fn passed_to(
+        program: &Path,
+        targets: &[Value],
+        listener: &TcpListener,
+        folder: &Path,
+        sockets: usize,
+    ) -> Node {
+        let mut command = passing_to(program, listener);
         command.env("TMPDIR", folder);
         let mut node = Node::run(command, targets, sockets, true);
         node.address = listener.local_addr().unwrap();
@@ -480,8 +491,13 @@
 
 /// The program with a listening socket as descriptor 5.
 pub fn passing(socket: &impl AsFd) -> Command {
+    passing_to(env!("CARGO_BIN_EXE_mothspool").as_ref(), socket)
+}
+
+/// This program, which may be another version's, with a listening socket as descriptor 5.
+pub fn passing_to(program: &Path, socket: &impl AsFd) -> Command {
     let mut shell = Command::new("sh");
-    shell.args(["-c", "exec \"$0\" 5<&0 0</dev/null", env!("CARGO_BIN_EXE_mothspool")]);
+    shell.args(["-c", "exec \"$0\" 5<&0 0</dev/null"]).arg(program);
     shell.stdin(socket.as_fd().try_clone_to_owned().unwrap());
     shell.stdout(Stdio::null()).stderr(Stdio::piped()).env("GW_PASSED_SOCKET", "5");
     shell
