--- a/src/node/admin/service.rs
+++ b/src/node/admin/service.rs
@@ -5,6 +5,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use hyper::StatusCode;
+use mothspool::Timestamp;
 use tokio::time::sleep;
 
 use super::commands::{Command, CommandError};
@@ -43,7 +44,7 @@
         self.lifecycle.set_standby(state.standby);
         for (uid, returned_at) in &state.returned_at {
             if applied.returned_at.get(uid) != Some(returned_at) {
-                self.engine.exit_maintenance(id_of(uid), *returned_at);
+                self.engine.exit_maintenance(id_of(uid), Timestamp::from_micros(*returned_at));
             }
         }
         for uid in &state.maintenance {
@@ -103,7 +104,8 @@
     }
 }
 
-/// The time since the Unix epoch.
-fn unix_time() -> Duration {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+/// The time now, in Unix time.
+fn unix_time() -> Timestamp {
+    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    Timestamp::from_micros(now.as_micros() as u64)
 }
--- a/src/node/state_store/admin_state.rs
+++ b/src/node/state_store/admin_state.rs
@@ -6,6 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+use mothspool::Timestamp;
 use serde::{Deserialize, Serialize};
 
 use super::error::StateError;
@@ -47,12 +48,13 @@
         self.maintenance.insert(uid);
     }
 
-    /// Takes an endpoint out of maintenance at `now`, a time since the Unix epoch. A second call changes nothing: the
-    /// endpoint warms up from the first one on.
-    pub fn exit_maintenance(&mut self, uid: &str, now: Duration) {
+    /// Takes an endpoint out of maintenance at `now`, in Unix time. A second call changes nothing: the endpoint warms
+    /// up from the first one on.
+    pub fn exit_maintenance(&mut self, uid: &str, now: Timestamp) {
         if self.maintenance.remove(uid) {
-            self.returned_at.retain(|_, at| Duration::from_micros(*at) + RETURN_RETENTION > now);
-            self.returned_at.insert(uid.to_string(), now.as_micros() as u64);
+            let age = |returned_at| now.saturating_duration_since(Timestamp::from_micros(returned_at));
+            self.returned_at.retain(|_, returned_at| age(*returned_at) < RETURN_RETENTION);
+            self.returned_at.insert(uid.to_string(), now.as_micros());
         }
     }
 }
--- a/tests/unit/state_store.rs
+++ b/tests/unit/state_store.rs
@@ -1,3 +1,5 @@
+use mothspool::Timestamp;
+
 use super::*;
 use crate::unit_support::TempFolder;
 
@@ -87,7 +89,7 @@
 #[test]
 fn a_return_is_kept_while_the_endpoint_may_warm_up() {
     let mut state = AdminState::default();
-    let seconds = Duration::from_secs;
+    let seconds = |seconds: u64| Timestamp::from_micros(seconds * 1_000_000);
     for uid in ["a", "b"] {
         state.enter_maintenance(uid.into());
     }
