--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -1,5 +1,5 @@
-//! One node: it takes requests from clients, asks the decision module where each goes, and passes
-//! on the servers' answers.
+//! One node: it takes requests from clients, has the balancer decide which endpoint each goes to, and passes the
+//! endpoints' responses on.
 #![deny(unsafe_code)]
 
 #[macro_use]
@@ -43,7 +43,7 @@
 
 /// Runs the node until it has shut down.
 fn run() -> Result<(), StartError> {
-    // First of all, while no other descriptor can have its number.
+    // Before anything opens a descriptor, which could get the number of the one that was passed on.
     let inherited = inherited_listener::from_environment()?;
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartError::Runtime)?;
