--- a/src/node/lifecycle/mod.rs
+++ b/src/node/lifecycle/mod.rs
@@ -176,3 +176,7 @@
         self.shutdown_deadline.cancelled().await;
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/lifecycle.rs"]
+mod tests;
--- a/tests/unit/hot_restart.rs
+++ b/tests/unit/hot_restart.rs
@@ -1,10 +1,7 @@
 use std::cell::Cell;
 
 use super::*;
-use crate::body::BufferBudget;
-use crate::config::Config;
-use crate::unit_support::TempFolder;
-use crate::upstream::UpstreamPool;
+use crate::unit_support::{TempFolder, upstream};
 
 /// Connections that the test sets a number for.
 #[derive(Default)]
@@ -25,23 +22,13 @@
     async fn drain(&self) {}
 }
 
-fn lifecycle(folder: &std::path::Path) -> Rc<Lifecycle> {
-    let class = r#"{"name":"view","idempotency":"pure","goal_time_us":100000,"deadline_us":1000000}"#;
-    let text = format!(
-        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{{"services":[{class}]}}}}"#
-    );
-    let path = folder.join("config.json");
-    std::fs::write(&path, text).unwrap();
-    let config = Config::read(path.to_str().unwrap()).unwrap();
-    Rc::new(Lifecycle::new(Rc::new(UpstreamPool::new(&config, BufferBudget::new(config.memory)))))
-}
-
 /// The processes of a node with its state in `folder`, each registered after the one before.
 fn processes<const N: usize>(folder: &TempFolder) -> [HotRestart<Connections>; N] {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let register = |()| {
+        let lifecycle = Rc::new(Lifecycle::new(upstream()));
         let store = Rc::new(StateStore::open(&folder.0, "n0"));
-        runtime.block_on(HotRestart::register(store, lifecycle(&folder.0), Rc::default()))
+        runtime.block_on(HotRestart::register(store, lifecycle, Rc::default()))
     };
     [(); N].map(register)
 }
--- a/tests/unit/support.rs
+++ b/tests/unit/support.rs
@@ -2,8 +2,13 @@
 
 use std::fs;
 use std::path::PathBuf;
+use std::rc::Rc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+use crate::body::BufferBudget;
+use crate::config::Config;
+use crate::upstream::UpstreamPool;
+
 /// An empty folder, removed when dropped.
 pub struct TempFolder(pub PathBuf);
 
@@ -35,3 +40,16 @@
         let _ = fs::remove_dir_all(&self.0);
     }
 }
+
+/// A connection pool without endpoints.
+pub fn upstream() -> Rc<UpstreamPool> {
+    let class = r#"{"name":"view","idempotency":"pure","goal_time_us":100000,"deadline_us":1000000}"#;
+    let text = format!(
+        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{{"services":[{class}]}}}}"#
+    );
+    let folder = TempFolder::new();
+    let path = folder.0.join("config.json");
+    fs::write(&path, text).unwrap();
+    let config = Config::read(path.to_str().unwrap()).unwrap();
+    Rc::new(UpstreamPool::new(&config, BufferBudget::new(config.memory)))
+}
