--- a/tests/node/version_upgrade.rs
+++ b/tests/node/version_upgrade.rs
@@ -10,8 +10,7 @@
 
 use serde_json::{Value, json};
 
-use crate::operating::until;
-use crate::peers::*;
+use crate::support::*;
 
 /// Descriptors of the node: few enough for both processes to notice.
 const SOCKETS: usize = 160;
@@ -23,30 +22,26 @@
 const PREVIOUS_NAME: &str = "dunelink-n0.json";
 const PREVIOUS_STATE: &str = r#"{"version":1,"orders":{"starts":3,"standby":true,"maintenance":["a","b"],"returned":{"c":1764680000000000}}}"#;
 
-fn status(node: &Node) -> Value {
-    serde_json::from_slice(&node.call("GET", "/status", "").body).unwrap()
-}
-
 #[test]
 fn a_state_file_of_the_version_before_holds_and_keeps_its_form() {
-    let server = Server::new(|_, _| ok("slip"));
-    let targets = ["a", "b", "c"].map(|uid| ready(uid, &server));
-    let folder = folder();
-    let path = folder.join(PREVIOUS_NAME);
+    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let targets = ["a", "b", "c"].map(|uid| ready_endpoint(uid, &upstream));
+    let state_dir = state_dir();
+    let path = state_dir.join(PREVIOUS_NAME);
     fs::write(&path, PREVIOUS_STATE).unwrap();
-    let node = Node::operated(&targets, 1024, &folder);
-    assert_eq!(status(&node), json!({"phase": "standby", "able": true, "maintenance": ["a", "b"]}));
+    let node = Node::with_admin(&targets, 1024, &state_dir);
+    assert_eq!(node.admin_status(), json!({"phase": "standby", "able": true, "maintenance": ["a", "b"]}));
     assert_eq!(node.health(), 503);
     let started = PREVIOUS_STATE.replace("\"starts\":3", "\"starts\":4");
-    until("it has counted itself", || fs::read_to_string(&path).unwrap() == started);
-    assert_eq!(node.call("POST", "/active", "").status(), 200);
+    wait_until("it has counted itself", || fs::read_to_string(&path).unwrap() == started);
+    assert_eq!(node.admin_request("POST", "/active", "").status(), 200);
     assert_eq!(fs::read_to_string(&path).unwrap(), started.replace("\"standby\":true", "\"standby\":false"));
-    assert_eq!(node.maintain("exit", "b"), 200);
+    assert_eq!(node.set_maintenance("exit", "b"), 200);
     let written = fs::read_to_string(&path).unwrap();
     let form = r#"{"version":1,"orders":{"starts":4,"standby":false,"maintenance":["a"],"returned":{"b":"#;
     let since = written.strip_prefix(form).and_then(|rest| rest.strip_suffix("}}}")).expect(&written);
     assert!(since.parse::<u64>().is_ok_and(|micros| micros > 1_764_680_000_000_000), "{written}");
-    let files = fs::read_dir(&folder).unwrap().map(|entry| entry.unwrap().file_name());
+    let files = fs::read_dir(&state_dir).unwrap().map(|entry| entry.unwrap().file_name());
     let mut files: Vec<String> = files.map(|name| name.into_string().unwrap()).collect();
     files.sort();
     assert_eq!(files, [PREVIOUS_NAME, "dunelink-n0.lock"]);
@@ -65,14 +60,19 @@
 impl Load {
     /// Sends one request after the other. Each is answered by the endpoint that is not in maintenance.
     fn run(&self, address: SocketAddr) {
-        let (mut client, mut is_new) = (Client::to(address), true);
+        let (mut client, mut is_new) = (Connection::open(address), true);
         while !self.stop.load(Ordering::SeqCst) {
-            client.send(&view());
-            let closed = match client.whole_answer() {
-                Some(answer) => {
-                    assert_eq!((answer.status(), &answer.body[..]), (200, &b"one"[..]), "{}", answer.first);
+            client.send(&view_request());
+            let closed = match client.try_receive() {
+                Some(response) => {
+                    assert_eq!(
+                        (response.status(), &response.body[..]),
+                        (200, &b"one"[..]),
+                        "{}",
+                        response.start_line
+                    );
                     self.answered.fetch_add(1, Ordering::SeqCst);
-                    answer.header("connection") == Some("close")
+                    response.header("connection") == Some("close")
                 }
                 None => {
                     assert!(!is_new, "a request on a new connection was lost");
@@ -82,7 +82,7 @@
             };
             is_new = closed;
             if closed {
-                client = Client::to(address);
+                client = Connection::open(address);
             }
             thread::sleep(Duration::from_millis(2));
         }
@@ -95,7 +95,7 @@
     /// Waits until this many more requests are answered.
     fn goes_on(&self, requests: usize) {
         let before = self.answered();
-        until("clients are served", || self.answered() >= before + requests);
+        wait_until("clients are served", || self.answered() >= before + requests);
     }
 }
 
@@ -118,61 +118,93 @@
     env!("CARGO_BIN_EXE_mothspool").into()
 }
 
+/// The endpoint "a", and "b" and "c", which are to be in maintenance.
+struct Endpoints {
+    serving: UpstreamServer,
+    in_maintenance: UpstreamServer,
+}
+
+impl Endpoints {
+    fn new() -> Endpoints {
+        let serving = UpstreamServer::new(|_, request| match request.start_line.starts_with("POST") {
+            true => Reply::SendDelayed(Vec::new(), Duration::from_millis(2500), response(200, "", "late")),
+            false => ok("one"),
+        });
+        Endpoints { serving, in_maintenance: UpstreamServer::new(|_, _| ok("two")) }
+    }
+
+    fn list(&self) -> [Value; 3] {
+        let endpoints = [("a", &self.serving), ("b", &self.in_maintenance), ("c", &self.in_maintenance)];
+        endpoints.map(|(uid, upstream)| ready_endpoint(uid, upstream))
+    }
+
+    /// Sends a request that takes 2.5 s, and returns once its endpoint has it.
+    fn send_slow_request(&self, node: &Node) -> Connection {
+        let mut client = node.client();
+        client.send(&order_request());
+        while !self.serving.next_request().1.start_line.starts_with("POST") {}
+        client
+    }
+}
+
+fn serves(node: &Node) -> bool {
+    node.admin_request("GET", "/status", "").status() == 200
+}
+
+/// The state file after this many starts.
+fn state(starts: u32, standby: bool) -> String {
+    format!(
+        r#"{{"version":1,"orders":{{"starts":{starts},"standby":{standby},"maintenance":["b","c"],"returned":{{}}}}}}"#
+    )
+}
+
+/// What was ordered of the older process holds for the newer one, and what either is told holds for both.
+fn orders_hold_for_both(older: &Node, newer: &Node) {
+    let standby = json!({"phase": "standby", "able": true, "maintenance": ["b", "c"]});
+    assert_eq!(newer.admin_status(), standby);
+    assert_eq!(newer.admin_request("POST", "/active", "").status(), 200);
+    assert_eq!(older.admin_status()["phase"], "serving");
+    assert_eq!(older.admin_request("POST", "/standby", "").status(), 200);
+    assert_eq!(newer.admin_status(), standby);
+    assert_eq!(older.admin_request("POST", "/active", "").status(), 200);
+    assert_eq!(newer.admin_status()["phase"], "serving");
+}
+
 /// Runs a node with one program, has the other take over under load, and ends the first.
 fn take_over(from: &Path, to: &Path) {
-    let one = Server::new(|_, request| match request.first.starts_with("POST") {
-        true => Act::SayMore(Vec::new(), Duration::from_millis(2500), answer(200, "", "late")),
-        false => ok("one"),
-    });
-    let two = Server::new(|_, _| ok("two"));
-    let targets = [ready("a", &one), ready("b", &two), ready("c", &two)];
-    let (listener, folder) = (TcpListener::bind("127.0.0.1:0").unwrap(), folder());
-    let start = |program| Node::passed_to(program, &targets, &listener, &folder, SOCKETS);
+    let (endpoints, state_dir) = (Endpoints::new(), state_dir());
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let start = |program| Node::with_program(program, &endpoints.list(), &listener, &state_dir, SOCKETS);
+    let read = |file: &str| fs::read_to_string(state_dir.join(file)).unwrap();
     let mut older = start(from);
-    until("the older one serves", || older.call("GET", "/status", "").status() == 200);
-    assert_eq!((older.maintain("enter", "b"), older.maintain("enter", "c")), (200, 200));
-    assert_eq!(older.call("POST", "/standby", "").status(), 200);
-    let state = |starts: u32, standby: bool| {
-        format!(
-            r#"{{"version":1,"orders":{{"starts":{starts},"standby":{standby},"maintenance":["b","c"],"returned":{{}}}}}}"#
-        )
-    };
-    assert_eq!(fs::read_to_string(folder.join(PREVIOUS_NAME)).unwrap(), state(1, true));
+    wait_until("the older one serves", || serves(&older));
+    assert_eq!((older.set_maintenance("enter", "b"), older.set_maintenance("enter", "c")), (200, 200));
+    assert_eq!(older.admin_request("POST", "/standby", "").status(), 200);
+    assert_eq!(read(PREVIOUS_NAME), state(1, true));
     let (load, address) = (Load::default(), older.address);
     thread::scope(|scope| {
         let stop = StopOnDrop(&load);
         let clients: Vec<_> = (0..LOAD).map(|_| scope.spawn(|| load.run(address))).collect();
         load.goes_on(100);
-        let mut busy = older.client();
-        busy.send(&order());
-        until("the order is at its server", || {
-            std::iter::from_fn(|| Some(one.request().1)).any(|request| request.first.starts_with("POST"))
-        });
+        let mut slow = endpoints.send_slow_request(&older);
         let before = load.answered();
 
         let newer = start(to);
-        until("the newer one serves", || newer.call("GET", "/status", "").status() == 200);
-        assert_eq!(fs::read_to_string(folder.join("dunelink-n0.given-way")).unwrap(), "2");
-        assert!(older.descriptors() + newer.descriptors() <= SOCKETS);
-        // What was ordered of the older one holds for the newer one, and the other way round.
-        assert_eq!(status(&newer), json!({"phase": "standby", "able": true, "maintenance": ["b", "c"]}));
-        assert_eq!(newer.call("POST", "/active", "").status(), 200);
-        assert_eq!(status(&older)["phase"], "serving");
-        assert_eq!(older.call("POST", "/standby", "").status(), 200);
-        assert_eq!(status(&newer)["phase"], "standby");
-        assert_eq!(older.call("POST", "/active", "").status(), 200);
-        assert_eq!(status(&newer)["phase"], "serving");
+        wait_until("the newer one serves", || serves(&newer));
+        assert_eq!(read("dunelink-n0.given-way"), "2");
+        assert!(older.open_descriptors() + newer.open_descriptors() <= SOCKETS);
+        orders_hold_for_both(&older, &newer);
         load.goes_on(100);
         older.terminate();
-        until("the older one shuts down", || status(&older)["phase"] == "leaving");
+        wait_until("the older one shuts down", || older.admin_status()["phase"] == "leaving");
         assert_eq!(older.health(), 200, "the node serves");
-        assert_eq!(busy.answer().body, b"late");
-        assert!(older.exit().success());
+        assert_eq!(slow.receive().body, b"late");
+        assert!(older.wait_for_exit().success());
         let during = load.answered() - before;
 
         load.goes_on(100);
-        assert_eq!(newer.health(), 200);
-        assert_eq!(status(&newer), json!({"phase": "serving", "able": true, "maintenance": ["b", "c"]}));
+        let serving = json!({"phase": "serving", "able": true, "maintenance": ["b", "c"]});
+        assert_eq!((newer.health(), newer.admin_status()), (200, serving));
         drop(stop);
         clients.into_iter().for_each(|client| client.join().unwrap());
         let after = load.answered() - before - during;
@@ -182,8 +214,8 @@
             "requests answered: {before} before, {during} during and {after} after; {resent} of them sent again"
         );
     });
-    assert_eq!(two.count(), 0, "nothing goes to an endpoint in maintenance");
-    assert_eq!(fs::read_to_string(folder.join(PREVIOUS_NAME)).unwrap(), state(2, false));
+    assert_eq!(endpoints.in_maintenance.request_count(), 0, "nothing goes to an endpoint in maintenance");
+    assert_eq!(read(PREVIOUS_NAME), state(2, false));
 }
 
 #[test]
--- /dev/null
+++ b/tests/support/upstream.rs
@@ -0,0 +1,149 @@
+//! Scripted upstream servers.
+
+use std::io::{BufReader, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::mpsc::{Receiver, Sender, channel};
+use std::thread;
+use std::time::Duration;
+
+use crate::support::*;
+
+/// How an upstream server replies to a request.
+#[derive(Clone)]
+pub enum Reply {
+    /// Writes these bytes and reads on.
+    Send(Vec<u8>),
+    /// Writes these bytes and closes the connection.
+    SendAndClose(Vec<u8>),
+    /// Writes some bytes, and after a delay others.
+    SendDelayed(Vec<u8>, Duration, Vec<u8>),
+    /// Writes these pieces with a pause after each.
+    SendInPieces(Vec<Vec<u8>>, Duration),
+    /// Writes nothing and reads on.
+    Never,
+}
+
+/// A response as bytes.
+pub fn response(status: u16, headers: &str, body: &str) -> Vec<u8> {
+    format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+}
+
+/// A 200 response with this body.
+pub fn ok(body: &str) -> Reply {
+    Reply::Send(response(200, "", body))
+}
+
+/// What an upstream server has received.
+#[derive(Debug)]
+pub enum UpstreamEvent {
+    /// A request, and the number of the connection that carried it.
+    Request(usize, Message),
+    /// The connection of this number is closed.
+    ConnectionClosed(usize),
+}
+
+/// Decides the reply from a number (of the request or of its connection, from 0) and the request.
+trait Script: Fn(usize, &Message) -> Reply + Send + Sync + 'static {}
+
+impl<F: Fn(usize, &Message) -> Reply + Send + Sync + 'static> Script for F {}
+
+/// A server that replies by a script; it listens until the test process ends.
+pub struct UpstreamServer {
+    pub address: SocketAddr,
+    requests: Arc<AtomicUsize>,
+    events: Receiver<UpstreamEvent>,
+}
+
+impl UpstreamServer {
+    /// A server whose script gets the number of requests received before.
+    pub fn new(script: impl Fn(usize, &Message) -> Reply + Send + Sync + 'static) -> UpstreamServer {
+        let count = AtomicUsize::new(0);
+        UpstreamServer::by_connection(move |_, request| script(count.fetch_add(1, Ordering::SeqCst), request))
+    }
+
+    /// A server whose script gets the number of the connection that carried the request.
+    pub fn by_connection(
+        script: impl Fn(usize, &Message) -> Reply + Send + Sync + 'static,
+    ) -> UpstreamServer {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let (sender, events) = channel();
+        let (script, requests) = (Arc::new(script), Arc::new(AtomicUsize::new(0)));
+        let count = requests.clone();
+        thread::spawn(move || {
+            for (number, stream) in listener.incoming().enumerate() {
+                let (script, sender, count) = (script.clone(), sender.clone(), count.clone());
+                thread::spawn(move || {
+                    let Ok(stream) = stream else { return };
+                    serve_connection(number, stream, &*script, &count, &sender);
+                    let _ = sender.send(UpstreamEvent::ConnectionClosed(number));
+                });
+            }
+        });
+        UpstreamServer { address, requests, events }
+    }
+
+    /// The next request, and the number of the connection that carried it.
+    pub fn next_request(&self) -> (usize, Message) {
+        loop {
+            if let UpstreamEvent::Request(number, message) = self.next_event("a request") {
+                return (number, message);
+            }
+        }
+    }
+
+    /// Waits until a connection is closed; its number.
+    pub fn next_closed_connection(&self) -> usize {
+        loop {
+            if let UpstreamEvent::ConnectionClosed(number) = self.next_event("a closed connection") {
+                return number;
+            }
+        }
+    }
+
+    /// How many requests it has received.
+    pub fn request_count(&self) -> usize {
+        self.requests.load(Ordering::SeqCst)
+    }
+
+    fn next_event(&self, expected: &str) -> UpstreamEvent {
+        self.events.recv_timeout(EVENT_TIMEOUT).expect(expected)
+    }
+}
+
+/// Replies to the requests of one connection until either end closes it.
+fn serve_connection(
+    number: usize,
+    mut stream: TcpStream,
+    script: &impl Script,
+    count: &AtomicUsize,
+    events: &Sender<UpstreamEvent>,
+) {
+    let mut reader = BufReader::new(stream.try_clone().unwrap());
+    while let Some(request) = Message::read(&mut reader) {
+        count.fetch_add(1, Ordering::SeqCst);
+        let reply = script(number, &request);
+        let _ = events.send(UpstreamEvent::Request(number, request));
+        match reply {
+            Reply::Send(bytes) => drop(stream.write_all(&bytes)),
+            Reply::SendAndClose(bytes) => {
+                drop(stream.write_all(&bytes));
+                break;
+            }
+            Reply::SendDelayed(bytes, delay, rest) => {
+                drop(stream.write_all(&bytes));
+                thread::sleep(delay);
+                drop(stream.write_all(&rest));
+            }
+            Reply::SendInPieces(pieces, pause) => {
+                for piece in pieces {
+                    drop(stream.write_all(&piece));
+                    thread::sleep(pause);
+                }
+            }
+            Reply::Never => {}
+        }
+    }
+}
