--- a/src/node/upstream/request.rs
+++ b/src/node/upstream/request.rs
@@ -75,7 +75,7 @@
     fn is_upload_stalled(&self) -> bool {
         let RequestBody::Streamed(stream) = &self.body else { return false };
         matches!(stream.progress(), UploadProgress::Forwarding)
-            && stream.unpolled() >= self.timeout.max(MIN_UPLOAD_STALL_TIMEOUT)
+            && stream.unpolled_for() >= self.timeout.max(MIN_UPLOAD_STALL_TIMEOUT)
     }
 
     /// Whether the last byte of the request may be on the socket, once `written` bytes of it are, `head_length` of
--- a/tests/unit/support.rs
+++ b/tests/unit/support.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// A connection pool without endpoints.
-pub fn upstream() -> Rc<UpstreamPool> {
+/// A small configuration, with one class of requests.
+pub fn config() -> Rc<Config> {
     let class = r#"{"name":"view","idempotency":"pure","goal_time_us":100000,"deadline_us":1000000}"#;
     let text = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{{"services":[{class}]}}}}"#
@@ -50,6 +50,11 @@
     let folder = TempFolder::new();
     let path = folder.0.join("config.json");
     fs::write(&path, text).unwrap();
-    let config = Config::read(path.to_str().unwrap()).unwrap();
+    Rc::new(Config::read(path.to_str().unwrap()).unwrap())
+}
+
+/// A connection pool without endpoints.
+pub fn upstream() -> Rc<UpstreamPool> {
+    let config = config();
     Rc::new(UpstreamPool::new(&config, BufferBudget::new(config.memory)))
 }
