--- a/src/node/downstream/mod.rs
+++ b/src/node/downstream/mod.rs
@@ -5,6 +5,7 @@
 //! [`health`] checks are answered at once, all others are validated by [`request`] and handed to the engine by
 //! [`exchange`].
 
+mod client_connections;
 mod connection;
 mod connections;
 mod error;
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -24,4 +24,6 @@
 mod shutdown;
 mod slow_peers;
 mod standby;
+mod startup;
 mod upstream_responses;
+mod version_upgrade;
--- a/tests/unit/downstream.rs
+++ b/tests/unit/downstream.rs
@@ -10,9 +10,9 @@
 use super::DownstreamServer;
 use super::connection::Connection;
 use crate::body::BufferBudget;
-use crate::config::Config;
 use crate::engine::EngineHandle;
 use crate::lifecycle::Lifecycle;
+use crate::unit_support::config;
 use crate::upstream::UpstreamPool;
 
 const HEALTH_CHECK: &[u8] = b"GET /_health HTTP/1.1\r\nHost: n\r\n\r\n";
@@ -20,16 +20,7 @@
 const FIRST_BYTES: usize = 9;
 
 fn server() -> DownstreamServer {
-    let class = r#"{"name":"view","idempotency":"pure","goal_time_us":100000,"deadline_us":1000000}"#;
-    let text = format!(
-        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{{"services":[{class}]}}}}"#
-    );
-    // Tests run beside each other, each on a thread of its own.
-    let (process, thread) = (std::process::id(), std::thread::current().id());
-    let path = std::env::temp_dir().join(format!("mothspool-downstream-{process}-{thread:?}.json"));
-    std::fs::write(&path, text).unwrap();
-    let config = Rc::new(Config::read(path.to_str().unwrap()).unwrap());
-    std::fs::remove_file(path).unwrap();
+    let config = config();
     let buffer_budget = BufferBudget::new(config.memory);
     let upstream = Rc::new(UpstreamPool::new(&config, buffer_budget.clone()));
     let (engine, _) = EngineHandle::new(1, upstream.clone());
