--- /dev/null
+++ b/tests/node/deadlines.rs
@@ -0,0 +1,22 @@
+//! Deadlines of requests.
+
+use crate::support::*;
+
+#[test]
+fn an_expired_request_is_rejected_without_an_attempt() {
+    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let node = Node::start(&[ready_endpoint("a", &upstream)]);
+    for deadline in ["0", "-1.5", "0.001"] {
+        assert_eq!(node.client().exchange(&request("GET", "/view/1", deadline, "", "")).status(), 503);
+    }
+    assert_eq!(upstream.request_count(), 0);
+}
+
+#[test]
+fn the_deadline_bounds_the_wait_for_a_silent_endpoint() {
+    let upstream = UpstreamServer::new(|_, _| Reply::Never);
+    let node = Node::start(&[ready_endpoint("a", &upstream)]);
+    // A client may repeat an idempotent request (503); a non-idempotent one may have executed (504).
+    assert_eq!(node.client().exchange(&request("GET", "/view/1", "2", "", "")).status(), 503);
+    assert_eq!(node.client().exchange(&request("POST", "/order/1", "2", "", "yen")).status(), 504);
+}
--- /dev/null
+++ b/tests/node/shutdown.rs
@@ -0,0 +1,205 @@
+//! Graceful shutdown: every accepted request is answered before SIGKILL is due.
+
+use std::net::{TcpListener, TcpStream};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use serde_json::Value;
+
+use crate::support::*;
+
+/// A node whose longest deadline is a second; SIGKILL is due 0.7 s later.
+fn with_short_deadlines(endpoints: &[Value], sockets: usize) -> Node {
+    Node::with_config(endpoints, |config| {
+        config["limits"]["sockets"] = sockets.into();
+        for class in config["settings"]["services"].as_array_mut().unwrap() {
+            class["deadline_us"] = 1_000_000.into();
+            class["goal_time_us"] = 500_000.into();
+        }
+    })
+}
+
+/// How many client connections a node with 36 sockets has when all of them have requests that wait.
+const MAX_CLIENT_CONNECTIONS: usize = 6;
+
+/// From SIGTERM to SIGKILL.
+const KILL_AFTER: Duration = Duration::from_millis(1700);
+
+/// Kills the node when the platform would.
+fn kill_when_due(node: &mut Node, signalled_at: Instant) {
+    thread::sleep((signalled_at + KILL_AFTER).saturating_duration_since(Instant::now()));
+    node.kill();
+}
+
+#[test]
+fn a_late_request_on_an_open_connection_is_answered_before_sigkill() {
+    let upstream = UpstreamServer::new(|_, _| Reply::Never);
+    // So few descriptors that partial requests take all connections, and the last clients stay in the backlog.
+    let mut node = with_short_deadlines(&[ready_endpoint("a", &upstream)], 60);
+    let order = order_request();
+    let mut partial: Vec<Connection> = (0..30).map(|_| node.client()).collect();
+    partial.iter_mut().for_each(|client| client.send(&order[..20]));
+    // By now the node has read from all that it accepted.
+    pause_before_reuse();
+    let signalled_at = Instant::now();
+    node.terminate();
+    thread::sleep((signalled_at + Duration::from_millis(1000)).saturating_duration_since(Instant::now()));
+    partial[0].send(&order[20..]);
+    let mut client = partial.swap_remove(0);
+    let response = thread::spawn(move || client.try_receive());
+    kill_when_due(&mut node, signalled_at);
+    let response = response.join().unwrap().expect("a response before SIGKILL");
+    assert!([502, 503, 504].contains(&response.status()), "{response:?}");
+}
+
+/// All connections close at the shutdown deadline, and those in the backlog are accepted then.
+#[test]
+fn connections_in_the_backlog_at_the_shutdown_deadline_are_answered() {
+    let upstream = UpstreamServer::new(|_, _| Reply::Never);
+    let mut node = with_short_deadlines(&[ready_endpoint("a", &upstream)], 36);
+    let order = order_request();
+    let mut partial: Vec<Connection> = (0..MAX_CLIENT_CONNECTIONS).map(|_| node.client()).collect();
+    partial.iter_mut().for_each(|client| client.send(&order[..20]));
+    pause_before_reuse();
+    let signalled_at = Instant::now();
+    node.terminate();
+    let mut queued: Vec<Connection> = (0..5).map(|_| node.client()).collect();
+    queued.iter_mut().for_each(|client| client.send(&view_request()));
+    thread::sleep((signalled_at + Duration::from_millis(1200)).saturating_duration_since(Instant::now()));
+    // Some are sent, the others queued: all wait until the shutdown deadline.
+    for (n, client) in partial.iter_mut().enumerate() {
+        client.send(&order[20..]);
+        assert!(n > 0 || upstream.next_request().1.start_line.starts_with("POST"));
+    }
+    let responses = thread::spawn(move || {
+        let answered = |mut client: Connection| client.try_receive().map(|response| response.status());
+        queued.into_iter().map(answered).collect::<Vec<_>>()
+    });
+    kill_when_due(&mut node, signalled_at);
+    let responses = responses.join().unwrap();
+    assert!(responses.iter().all(Option::is_some), "{responses:?}");
+}
+
+#[test]
+fn a_partially_read_request_at_sigterm_is_answered() {
+    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let mut node = with_short_deadlines(&[ready_endpoint("a", &upstream)], 1024);
+    let (submit, view) = (submit_request(), view_request());
+    let (mut head, mut body) = (node.client(), node.client());
+    head.send(&view[..25]);
+    body.send(&submit[..submit.len() - 2]);
+    pause_before_reuse();
+    node.terminate();
+    // From the signal on, the health check fails.
+    while node.health() == 200 {}
+    head.send(&view[25..]);
+    body.send(&submit[submit.len() - 2..]);
+    for client in [&mut head, &mut body] {
+        let response = client.receive();
+        assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
+        assert!(client.is_closed());
+    }
+    assert!(node.wait_for_exit().success());
+}
+
+#[test]
+fn queued_and_partially_answered_requests_complete_after_sigterm_and_sighup() {
+    let a = TcpListener::bind("127.0.0.1:0").unwrap();
+    let mut node = Node::start(&[endpoint_entry("a", a.local_addr().unwrap(), 1, "ready")]);
+    Watch::accept(&node.discovery).keep_alive();
+    let (mut first, mut second, mut queued) = (node.client(), node.client(), node.client());
+    let send_and_accept = |client: &mut Connection| {
+        client.send(&order_request());
+        let mut connection = Connection::from_stream(accept_connection(&a));
+        connection.receive();
+        connection
+    };
+    let mut streaming = send_and_accept(&mut first);
+    let mut rejecting = send_and_accept(&mut second);
+    // The endpoint's concurrency limit is reached: this one is queued.
+    queued.send(&view_request());
+    streaming.send(b"HTTP/1.1 200 X\r\nContent-Length: 100000\r\n\r\n");
+    streaming.send(&vec![b'h'; 70_000]);
+    node.terminate();
+    let moved = TcpListener::bind("127.0.0.1:0").unwrap();
+    node.reload_config(&node.config_with_discovery(&moved));
+    while node.health() == 200 {}
+    Watch::accept(&moved).keep_alive();
+    // The rejected one is retried, the queued one is sent, and the streaming one continues.
+    rejecting.send(&response(503, "Srv-Declined: 1\r\nConnection: close\r\n", ""));
+    for _ in 0..2 {
+        let mut connection = Connection::from_stream(accept_connection(&a));
+        connection.receive();
+        connection.send(&response(200, "Connection: close\r\n", "slip"));
+        assert!(connection.reaches_close());
+    }
+    streaming.send(&vec![b'h'; 30_000]);
+    assert_eq!(first.receive().body.len(), 100_000);
+    for client in [&mut second, &mut queued] {
+        let response = client.receive();
+        assert_eq!((response.status(), &response.body[..]), (200, &b"slip"[..]));
+        assert!(client.is_closed());
+    }
+    assert!(node.wait_for_exit().success());
+}
+
+#[test]
+fn sigterm_with_exhausted_descriptors_answers_every_request() {
+    let upstream = UpstreamServer::new(|_, _| Reply::Never);
+    let mut node = Node::with_descriptor_limit(&[ready_endpoint("a", &upstream)], 48);
+    let mut crowd: Vec<Connection> = (0..60).map(|_| node.client()).collect();
+    crowd.iter_mut().for_each(|client| client.send(&order_request()));
+    let started = Instant::now();
+    while node.open_descriptors() < 47 {
+        assert!(started.elapsed() < EVENT_TIMEOUT, "descriptors are free");
+    }
+    node.terminate();
+    for client in &mut crowd {
+        let response = client.receive();
+        assert!([502, 503, 504].contains(&response.status()), "{response:?}");
+    }
+    assert!(node.wait_for_exit().success());
+}
+
+#[test]
+fn sigterm_answers_every_request_and_closes_connections() {
+    let upstream = UpstreamServer::new(|count, _| if count == 1 { Reply::Never } else { ok("slip") });
+    let mut node = Node::start(&[ready_endpoint("a", &upstream)]);
+    let (mut kept, mut waiting) = (node.client(), node.client());
+    assert_eq!(kept.exchange(&view_request()).status(), 200);
+    waiting.send(&order_request());
+    upstream.next_request();
+    upstream.next_request();
+    node.terminate();
+    // The signal arrives about now: the node serves on until it announces the close.
+    loop {
+        let response = kept.exchange(&view_request());
+        assert_eq!(response.status(), 200);
+        if response.header("connection") == Some("close") {
+            break;
+        }
+    }
+    assert!(kept.is_closed());
+    // The node exits before the request's deadline; no response at all would be worse than a failure.
+    assert_eq!(waiting.receive().status(), 504);
+    assert!(node.wait_for_exit().success());
+    assert!(TcpStream::connect(node.address).is_err());
+}
+
+#[test]
+fn a_streamed_response_completes_during_shutdown() {
+    let body = random_bytes(2_000_000);
+    let mut pieces = vec![ok_with_body("", &body)];
+    let rest = pieces[0].split_off(1_500_000);
+    pieces.push(rest);
+    let upstream =
+        UpstreamServer::new(move |_, _| Reply::SendInPieces(pieces.clone(), Duration::from_millis(2000)));
+    let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
+    let mut node = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
+    let mut client = node.client();
+    client.send(&view_request());
+    upstream.next_request();
+    node.terminate();
+    assert_eq!(client.receive().body, body);
+    assert!(node.wait_for_exit().success());
+}
