--- /dev/null
+++ b/src/balancer/admission.rs
@@ -0,0 +1,126 @@
+//! Admission: quotas of tenants, and load shedding by how long attempts wait at endpoints.
+
+use super::decay::DECAY_TIME_US;
+use super::interface::{Settings, Tenant, Timestamp};
+use super::latency::{LatencyEstimator, shortest_baseline_us};
+use super::requests::QueuedRequest;
+
+/// The least burst of a tenant at a node: few nodes see its requests evenly.
+const MIN_BURST: f64 = 4.0;
+
+/// A node's part of a tenant's quota, as a token bucket; it holds what is refilled in a second.
+struct TokenBucket {
+    rate_per_second: f64,
+    burst: f64,
+    tokens: f64,
+    refilled_at: Timestamp,
+}
+
+impl TokenBucket {
+    fn new(tenant: &Tenant, node_count: u32) -> TokenBucket {
+        let rate_per_second = tenant.quota_per_second / f64::from(node_count);
+        let burst = rate_per_second.max(MIN_BURST);
+        TokenBucket { rate_per_second, burst, tokens: burst, refilled_at: Timestamp::default() }
+    }
+
+    fn take(&mut self, now: Timestamp) -> bool {
+        let refill = self.rate_per_second * now.micros_since(self.refilled_at) / 1e6;
+        self.tokens = (self.tokens + refill).min(self.burst);
+        self.refilled_at = now;
+        let taken = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(taken));
+        taken
+    }
+}
+
+/// How far one response of the class with the lowest baseline moves the mean wait.
+const WAIT_STEP: f64 = 0.2;
+/// How far one response moves the typical latency.
+const TYPICAL_STEP: f64 = 0.05;
+/// The longest wait that counts, by the slack of its class: a few very slow endpoints are no overload of all.
+const MAX_WAIT_SLACK: f64 = 1.2;
+
+/// How long attempts wait at endpoints before they are executed, in microseconds, over all classes.
+#[derive(Default)]
+pub(super) struct QueueWaitEstimator {
+    mean_us: f64,
+    /// The baseline latency, over classes as they are answered.
+    typical_us: f64,
+    updated_at: Timestamp,
+}
+
+impl QueueWaitEstimator {
+    /// The mean wait. It fades to none while no attempt ends: a node that sheds all would never learn better.
+    fn mean_at(&self, now: Timestamp) -> f64 {
+        self.mean_us * (1.0 - now.micros_since(self.updated_at) / DECAY_TIME_US).max(0.0)
+    }
+
+    /// Takes in how long an attempt took: beyond the baseline it has waited. Long requests vary by more than
+    /// they wait: a class counts by `lowest baseline / its baseline`. One not served may only raise the mean.
+    pub(super) fn record(
+        &mut self,
+        now: Timestamp,
+        latencies: &[LatencyEstimator],
+        class: usize,
+        elapsed_us: f64,
+        served: bool,
+    ) {
+        let latency = &latencies[class];
+        let baseline_us = latency.baseline_us;
+        let waited_us = (elapsed_us - baseline_us).min(MAX_WAIT_SLACK * latency.slack_us().max(0.0));
+        if served || waited_us > self.mean_us {
+            self.typical_us += TYPICAL_STEP * (baseline_us - self.typical_us);
+            // A lost response must not look like load: one wait moves the mean by a typical latency at most.
+            let difference = (waited_us - self.mean_us).clamp(-self.typical_us, self.typical_us);
+            self.mean_us += WAIT_STEP * (shortest_baseline_us(latencies) / baseline_us) * difference;
+            self.updated_at = now;
+        }
+    }
+}
+
+/// Shedding begins at a mean wait of the first part of the slack, and grows to all over the second part.
+/// Within quotas that is the slack of the request's class, beyond them the least slack of all.
+const SHED_SLACK: (f64, f64) = (0.2, 0.4);
+const SHED_SLACK_OVER_QUOTA: (f64, f64) = (0.1, 0.2);
+/// A wait below this part of the typical latency is no load.
+const UNLOADED_WAIT: f64 = 0.75;
+
+pub(super) struct Admission {
+    quotas: Vec<TokenBucket>,
+    pub(super) queue_wait: QueueWaitEstimator,
+}
+
+impl Admission {
+    pub(super) fn new(settings: &Settings) -> Admission {
+        let quotas = settings.tenants.iter().map(|tenant| TokenBucket::new(tenant, settings.node_count));
+        Admission { quotas: quotas.collect(), queue_wait: QueueWaitEstimator::default() }
+    }
+
+    /// Counts a request against its tenant's quota, if there is one, and returns whether it is within it.
+    pub(super) fn take_quota(&mut self, tenant: Option<u32>, now: Timestamp) -> bool {
+        let quota = tenant.and_then(|tenant| self.quotas.get_mut(tenant as usize));
+        quota.is_none_or(|quota| quota.take(now))
+    }
+
+    /// The probability of being admitted: `1 - (1 - visibility) * clamp((wait - from) / range, 0, 1)`. A node
+    /// that sees little load by its own counts sees overload only in how long attempts wait: once that uses
+    /// up the slack, more work would make all of it late. A node that sees the load queues instead.
+    pub(super) fn probability(
+        &self,
+        now: Timestamp,
+        request: &QueuedRequest,
+        latencies: &[LatencyEstimator],
+        local_load_visibility: f64,
+    ) -> f64 {
+        let (from, range) = if request.within_quota {
+            let slack_us = latencies[request.class].slack_us();
+            let unloaded_us = self.queue_wait.typical_us * UNLOADED_WAIT;
+            ((SHED_SLACK.0 * slack_us).max(unloaded_us), SHED_SLACK.1 * slack_us)
+        } else {
+            let slack_us = latencies.iter().map(LatencyEstimator::slack_us).fold(f64::MAX, f64::min);
+            (SHED_SLACK_OVER_QUOTA.0 * slack_us, SHED_SLACK_OVER_QUOTA.1 * slack_us)
+        };
+        let overload = ((self.queue_wait.mean_at(now) - from) / range.max(1.0)).clamp(0.0, 1.0);
+        1.0 - (1.0 - local_load_visibility) * overload
+    }
+}
--- /dev/null
+++ b/src/balancer/attempts.rs
@@ -0,0 +1,134 @@
+//! The life of a request: it arrives, is queued and sent, perhaps sent again, and gets one final answer.
+
+use std::time::Duration;
+
+use super::Balancer;
+use super::interface::*;
+use super::requests::{ActiveRequest, Attempt, AttemptState, QueuedRequest};
+use super::retry::{may_send, retry_deadline};
+use super::subsets::pool_of;
+
+/// A request that was not executed leaves the queue after this part of its time: the protocol charges for
+/// those that are rejected after more than half of it.
+const MAX_QUEUE_FRACTION: f64 = 0.45;
+/// A request is answered so many steps of the clock before its client stops waiting.
+const ABANDON_CLOCK_STEPS: u32 = 2;
+
+impl Balancer {
+    pub(super) fn request_arrived(&mut self, request: Request) {
+        let (id, now) = (request.id, self.now);
+        let Some(class) = self.settings.classes.get(request.class) else {
+            return self.actions.push(Action::Reject { request: id, retry_after: Duration::ZERO });
+        };
+        let objective_at = now + class.objective_for(request.expected_work);
+        let within_quota = self.admission.take_quota(request.tenant, now);
+        let entry = QueuedRequest { id, class: request.class, within_quota, objective_at };
+        let pool = pool_of(request.tenant, self.label_salt);
+        let margin = self.settings.clock_granularity.saturating_mul(ABANDON_CLOCK_STEPS);
+        let abandon_at = now + request.remaining.saturating_sub(margin);
+        let queue_us = as_micros_f64(request.remaining) * MAX_QUEUE_FRACTION;
+        let queue_until = now + duration_from_micros_f64(queue_us);
+        let affinity_key = request.affinity_key;
+        let rest = ActiveRequest { queued: true, ..ActiveRequest::default() };
+        self.queues[pool].push(entry);
+        let active = ActiveRequest { entry, pool, affinity_key, abandon_at, queue_until, ..rest };
+        self.requests.insert(id, active);
+        // One that arrives with no time left must not be sent: its answer would be late in any case.
+        let visibility = self.concurrency.local_load_visibility();
+        let admission = self.admission.probability(now, &entry, &self.latencies, visibility);
+        if abandon_at <= now || self.random.f64() >= admission {
+            return self.reject_or_fail(id);
+        }
+        self.dispatch();
+        self.reevaluate(id);
+    }
+
+    /// Sends a request to endpoint `i`.
+    pub(super) fn send(&mut self, id: RequestId, i: usize) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let begin_by = retry_deadline(&self.settings, request);
+        let endpoint = &mut self.table.endpoints[i];
+        endpoint.in_flight += 1;
+        endpoint.last_sent = self.now;
+        self.table.maintenance.probed(endpoint.info.id);
+        request.queued = false;
+        request.attempts.push(Attempt::new(endpoint.info, self.now));
+        self.actions.push(Action::Send { request: id, endpoint: endpoint.info.id, begin_by });
+        self.schedule(id);
+    }
+
+    pub(super) fn attempt_ended(&mut self, result: AttemptResult) {
+        let (id, outcome) = (result.request, result.outcome);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(attempt) = request.attempt_in_flight(result.attempt) else { return };
+        let not_executed = outcome.not_executed();
+        attempt.state = if not_executed { AttemptState::NotExecuted } else { AttemptState::MaybeExecuted };
+        let ended = *attempt;
+        request.finished |= result.request_finished;
+        if outcome == Outcome::Served && request.is_in_flight() {
+            self.hedges.record(result.attempt > 0);
+        }
+        let entry = request.entry;
+        self.learn(&entry, ended, outcome, result.elapsed);
+        if self.requests[&id].finished {
+            self.finish(id);
+        } else if !self.requeue(id) {
+            return self.reject_or_fail(id);
+        }
+        self.dispatch();
+    }
+
+    /// Queues a request again that has no attempt in flight; false if it can't be sent any more.
+    fn requeue(&mut self, id: RequestId) -> bool {
+        let request = &self.requests[&id];
+        if request.is_in_flight() || request.queued {
+            return true;
+        }
+        let info = |i: &usize| &self.table.endpoints[*i].info;
+        let may_send_to = |i: &usize| may_send(&self.settings, request, info(i), self.now);
+        if !self.members(request.pool).iter().any(may_send_to) || self.now >= request.abandon_at {
+            return false;
+        }
+        self.queues[request.pool].push(request.entry);
+        self.requests.entry(id).and_modify(|request| request.queued = true);
+        self.schedule(id);
+        true
+    }
+
+    /// Cancels all attempts in flight but one, where cancelling is allowed.
+    pub(super) fn cancel_attempts(&mut self, id: RequestId, except: Option<AttemptNumber>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        for (number, attempt) in (0..).zip(&request.attempts) {
+            let in_flight = attempt.state == AttemptState::InFlight;
+            if self.settings.cancellation && in_flight && except != Some(number) {
+                self.actions.push(Action::Cancel(id, number));
+            }
+        }
+    }
+
+    /// Gives the final answer without a response: a rejection if another try by the client is harmless.
+    pub(super) fn reject_or_fail(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let (entry, not_executed) = (&request.entry, request.not_executed());
+        // What would return into the same overload, and too late, is asked to stay away.
+        let stay_away = !entry.within_quota || not_executed && self.would_be_late(entry);
+        let retry_after = if stay_away { self.settings.max_retry_after } else { Duration::ZERO };
+        let harmless = not_executed || self.settings.classes[entry.class].idempotency.client_may_retry();
+        let rejection = Action::Reject { request: id, retry_after };
+        self.actions.push(if harmless { rejection } else { Action::Fail(id) });
+        self.finish(id);
+    }
+
+    /// No answer is owed any more: forgets the request once none of its attempts is in flight.
+    pub(super) fn finish(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.finished = true;
+        if std::mem::take(&mut request.queued) {
+            self.queues[request.pool].retain(|queued| queued.id != id);
+        }
+        if !request.is_in_flight() {
+            self.requests.remove(&id);
+        }
+        self.cancel_attempts(id, None);
+    }
+}
--- /dev/null
+++ b/src/balancer/concurrency.rs
@@ -0,0 +1,71 @@
+//! The adaptive concurrency limit: how many attempts endpoints take at once.
+
+use super::decay::DecayingCounter;
+use super::interface::Timestamp;
+use super::latency::LatencyEstimator;
+
+/// The limit at the start, which it never falls below.
+const INITIAL_LIMIT: f64 = 2.0;
+/// Nor does it fall below this multiple of the concurrency that served work within quotas needs without load.
+const DEMAND_MULTIPLE: f64 = 3.5;
+/// Growth of the limit with a response in time, while requests are queued.
+const GROWTH: f64 = 1.005;
+/// What a late response leaves of the limit while responses are slowed down.
+const BACKOFF: f64 = 0.975;
+
+/// What a response tells of the limit.
+pub(super) struct LimitSample<'a> {
+    /// That of its class, with this response.
+    pub(super) latency: &'a LatencyEstimator,
+    pub(super) elapsed_us: f64,
+    pub(super) within_quota: bool,
+    /// Whether requests within quotas are queued.
+    pub(super) queued: bool,
+}
+
+/// The limit of attempts in flight at an endpoint of mean size, over all nodes together.
+pub(super) struct ConcurrencyLimit {
+    limit: f64,
+    node_count: f64,
+    /// Served work within quotas, in microseconds of baseline latency.
+    demand: DecayingCounter,
+}
+
+impl ConcurrencyLimit {
+    pub(super) fn new(node_count: u32) -> ConcurrencyLimit {
+        let demand = DecayingCounter::default();
+        ConcurrencyLimit { limit: INITIAL_LIMIT, node_count: f64::from(node_count), demand }
+    }
+
+    /// This node's part of the limit.
+    pub(super) fn per_node(&self) -> f64 {
+        self.limit / self.node_count
+    }
+
+    /// How much of an endpoint's load this node's own counts show: `2 * limit / node_count`, at most 1. A
+    /// node whose part of the limit is under half an attempt mostly counts zero, whatever the load.
+    pub(super) fn local_load_visibility(&self) -> f64 {
+        (2.0 * self.limit / self.node_count).min(1.0)
+    }
+
+    pub(super) fn sees_load(&self) -> bool {
+        self.local_load_visibility() == 1.0
+    }
+
+    /// Moves the limit by a response. Some are late for pauses; while all are slow, more work jams endpoints.
+    pub(super) fn record(&mut self, now: Timestamp, sample: &LimitSample<'_>, ready_endpoints: usize) {
+        let latency = sample.latency;
+        let factor = match (sample.elapsed_us > latency.objective_us, latency.is_slowed_down()) {
+            (true, true) => BACKOFF,
+            (false, false) if sample.queued => GROWTH,
+            _ => 1.0,
+        };
+        // Counting what arrives, not what is served, or a baseline that is a guess, would jam endpoints.
+        let counts = sample.within_quota && !latency.is_guess();
+        self.demand.add(now, if counts { latency.baseline_us } else { 0.0 });
+        // Little's law: arrivals per microsecond times microseconds each takes.
+        let needed = self.demand.rate_per_us(now) * self.node_count / ready_endpoints.max(1) as f64;
+        // A slowdown of all endpoints makes every response late; shrinking further would only serve fewer.
+        self.limit = (self.limit * factor).max(DEMAND_MULTIPLE * needed).max(INITIAL_LIMIT);
+    }
+}
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -1,141 +1,143 @@
-//! Which servers take requests: what discovery's list says of them, and what operators have taken out of it.
-//! Part of the decisions, like `src/decide.rs`.
-
-use std::collections::{BTreeMap, BTreeSet};
-use std::time::Duration;
-
-use super::interface::*;
-use super::state::Endpoint;
-use super::time::{Timestamp, whole_micros};
-use super::{ASK, Balancer};
+//! The endpoint table: what lists say of endpoints, what was learned of them, and which are ready.
+
+use std::collections::BTreeMap;
+
+use super::decay::{DECAY_TIME_US, DecayingCounter};
+use super::interface::{EndpointId, EndpointInfo, EndpointState, Settings, Timestamp, whole_micros};
+use super::latency::LatencyRatio;
+use super::maintenance::Maintenance;
+use super::outliers::{EndpointOutliers, Failure};
+
+/// One endpoint and what this node knows of it.
+pub(super) struct Endpoint {
+    pub(super) info: EndpointInfo,
+    /// Size against the mean of the ready endpoints.
+    pub(super) relative_size: f64,
+    /// The part of that size which falls to this node's subset; a little of it where none does.
+    pub(super) selection_weight: f64,
+    /// Attempts of this node that it executes.
+    pub(super) in_flight: u32,
+    pub(super) last_sent: Timestamp,
+    pub(super) outliers: EndpointOutliers,
+    pub(super) latency_ratio: LatencyRatio,
+}
 
-/// The longest first wait before discovery is asked again; it doubles with each failure.
-const ASK_AGAIN: Duration = Duration::from_secs(1);
+impl Endpoint {
+    /// One of which nothing is known but its entry in the list.
+    fn new(info: EndpointInfo, class_count: usize) -> Endpoint {
+        Endpoint {
+            info,
+            relative_size: 0.0,
+            selection_weight: 0.0,
+            in_flight: 0,
+            last_sent: Timestamp::default(),
+            outliers: EndpointOutliers::new(class_count),
+            latency_ratio: LatencyRatio(1.0),
+        }
+    }
 
-/// A server that operators have put back.
-struct Return {
-    at: Timestamp,
-    /// It was in use before and has not been sent anything since: chance might pass it over for long at a
-    /// node with little traffic.
-    owed_a_trial: bool,
+    /// The latency ratio; 1 after a time without attempts, so that a slow endpoint is tried again.
+    pub(super) fn latency_ratio_at(&self, now: Timestamp) -> f64 {
+        if now.micros_since(self.last_sent) < DECAY_TIME_US { self.latency_ratio.0 } else { 1.0 }
+    }
 }
 
-/// What operators have done to servers.
+/// All endpoints, in the order of their ids.
 #[derive(Default)]
-pub(crate) struct Maintenance {
-    /// Those taken out, whether the list names them or not.
-    out: BTreeSet<EndpointId>,
-    /// Those taken out that were in use at the time.
-    used: BTreeSet<EndpointId>,
-    back: BTreeMap<EndpointId, Return>,
+pub(super) struct EndpointTable {
+    pub(super) endpoints: Vec<Endpoint>,
+    /// Indices of those that take new requests.
+    pub(super) ready: Vec<usize>,
+    pub(super) maintenance: Maintenance,
+    /// The largest weight seen of each machine type: that of an idle machine.
+    machine_type_sizes: BTreeMap<u8, f64>,
 }
 
-impl Maintenance {
-    /// Whether anything new may go there.
-    pub(crate) fn takes_requests(&self, entry: &EndpointInfo) -> bool {
-        entry.state == EndpointState::Ready && !self.out.contains(&entry.id)
+impl EndpointTable {
+    /// The index of an endpoint, or where it would be inserted.
+    pub(super) fn find(&self, id: EndpointId) -> Result<usize, usize> {
+        self.endpoints.binary_search_by_key(&id, |endpoint| endpoint.info.id)
     }
 
-    /// When it last started. One that was put back counts as started then: discovery may not know yet.
-    pub(crate) fn started(&self, entry: &EndpointInfo) -> Timestamp {
-        self.back.get(&entry.id).map_or(entry.started_at, |back| back.at.max(entry.started_at))
+    pub(super) fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
+        self.find(id).ok().map(|i| &mut self.endpoints[i])
     }
 
-    pub(crate) fn owed_a_trial(&self, id: EndpointId) -> bool {
-        self.back.get(&id).is_some_and(|back| back.owed_a_trial)
-    }
-
-    /// Something is being sent there.
-    pub(crate) fn tried(&mut self, id: EndpointId) {
-        if let Some(back) = self.back.get_mut(&id) {
-            back.owed_a_trial = false;
+    /// Takes in a list, complete or of changes; returns whether any endpoint came, went or changed its state.
+    pub(super) fn update(&mut self, list: Vec<EndpointInfo>, complete: bool, class_count: usize) -> bool {
+        let states = |of: &[Endpoint]| of.iter().map(|e| (e.info.id, e.info.state)).collect::<Vec<_>>();
+        let before = states(&self.endpoints);
+        if complete {
+            self.endpoints.iter_mut().for_each(|endpoint| endpoint.info.state = EndpointState::Gone);
+        }
+        for info in list {
+            let largest = self.machine_type_sizes.entry(info.machine_type).or_insert(info.weight);
+            *largest = largest.max(info.weight);
+            match self.find(info.id) {
+                Err(i) => self.endpoints.insert(i, Endpoint::new(info, class_count)),
+                Ok(i) if self.endpoints[i].info.started_at == info.started_at => {
+                    self.endpoints[i].info = info;
+                }
+                // A restarted endpoint keeps its id, but nothing learned of it holds any more.
+                Ok(i) => self.forget(i, info, class_count),
+            }
         }
+        self.endpoints
+            .retain(|endpoint| endpoint.info.state != EndpointState::Gone || endpoint.in_flight > 0);
+        states(&self.endpoints) != before
     }
 
-    /// Whether what was sent at this time tells of the server as it was before it was put back.
-    pub(crate) fn was_before_return(&self, id: EndpointId, sent_at: Timestamp) -> bool {
-        self.back.get(&id).is_some_and(|back| sent_at < back.at)
+    /// Keeps of an endpoint only what holds after its restart too.
+    pub(super) fn forget(&mut self, i: usize, info: EndpointInfo, class_count: usize) {
+        let Endpoint { relative_size, selection_weight, in_flight, .. } = self.endpoints[i];
+        let fresh = Endpoint::new(info, class_count);
+        self.endpoints[i] = Endpoint { relative_size, selection_weight, in_flight, ..fresh };
     }
-}
 
-impl Balancer {
-    /// An operator has taken a server out: nothing new goes there, whatever the list says.
-    pub(crate) fn taken_out(&mut self, id: EndpointId) {
-        if !self.upkeep.out.insert(id) {
-            return;
-        }
-        let owed = self.upkeep.back.remove(&id).is_some_and(|back| back.owed_a_trial);
-        if owed || self.find(id).is_ok_and(|i| self.endpoints[i].last_sent > Timestamp::default()) {
-            self.upkeep.used.insert(id);
+    /// Finds out anew which endpoints are ready, and their sizes.
+    pub(super) fn refresh_ready(&mut self, settings: &Settings) {
+        let is_ready = |i: &usize| {
+            let info = &self.endpoints[*i].info;
+            info.state == EndpointState::Ready && !self.maintenance.ongoing.contains(&info.id)
+        };
+        self.ready = (0..self.endpoints.len()).filter(is_ready).collect();
+        let sizes: Vec<f64> = self.ready.iter().map(|i| self.stated_size(*i, settings)).collect();
+        let mean = sizes.iter().sum::<f64>() / sizes.len().max(1) as f64;
+        for (i, size) in self.ready.iter().zip(sizes) {
+            self.endpoints[*i].relative_size = if size > 0.0 { size / mean } else { 1.0 };
         }
-        self.build_pools();
-        self.dispatch();
     }
 
-    /// An operator has put a server back, some time ago if another process was told: it is cold, and nothing
-    /// learned of it holds any more.
-    pub(crate) fn put_back(&mut self, id: EndpointId, at: Timestamp) {
-        self.upkeep.out.remove(&id);
-        let slow_start_window = self.settings.slow_start_window;
-        self.upkeep.back.retain(|_, back| back.owed_a_trial || back.at + slow_start_window > self.now);
-        let owed_a_trial = self.upkeep.used.remove(&id);
-        self.upkeep.back.insert(id, Return { at: at.min(self.now), owed_a_trial });
-        if let Ok(i) = self.find(id) {
-            self.forget(i, self.endpoints[i].entry);
+    /// The size that lists state. By weights that fall with load all nodes would crowd what was idle a while
+    /// ago: there it is the largest weight seen of the machine type.
+    fn stated_size(&self, i: usize, settings: &Settings) -> f64 {
+        let info = &self.endpoints[i].info;
+        match self.machine_type_sizes.get(&info.machine_type) {
+            Some(size) if settings.load_dependent_weights => *size,
+            _ => info.weight,
         }
-        self.build_pools();
-        self.dispatch();
-    }
-
-    /// Keeps of a server only what holds after its restart too.
-    fn forget(&mut self, i: usize, entry: EndpointInfo) {
-        let Endpoint { in_flight, share, size, .. } = self.endpoints[i];
-        let fresh = Endpoint::new(entry, self.settings.classes.len());
-        self.endpoints[i] = Endpoint { share, size, in_flight, ..fresh };
-    }
-
-    pub(crate) fn ask(&mut self) {
-        let asked = self.settings.discovery != DiscoveryMode::Push;
-        self.actions.extend(asked.then_some(Action::Subscribe));
     }
 
-    /// Asks again after a wait that doubles and is drawn at random, so that nodes which failed together
-    /// do not return together; never less often than the rules want.
-    pub(crate) fn ask_later(&mut self) {
-        let DiscoveryMode::Poll { every } = self.settings.discovery else { return };
-        let longest =
-            (whole_micros(ASK_AGAIN) << self.failed_asks.min(3)).min(whole_micros(every) / 2).max(2);
-        self.failed_asks += 1;
-        let after = Duration::from_micros(longest / 2 + self.random.u64(..longest / 2));
-        self.actions.push(Action::SetTimer { after, token: ASK });
+    /// The part of its capacity that it surely has: from `slow_start_from` evenly to 1 over the window.
+    pub(super) fn slow_start_factor(&self, i: usize, now: Timestamp, settings: &Settings) -> f64 {
+        let started_at = self.maintenance.started_at(&self.endpoints[i].info);
+        let long_ago = started_at == Timestamp::default();
+        let age_us = if long_ago { u64::MAX as f64 } else { now.micros_since(started_at) };
+        let warmed_up = (age_us / whole_micros(settings.slow_start_window).max(1) as f64).min(1.0);
+        settings.slow_start_from + (1.0 - settings.slow_start_from) * warmed_up
     }
 
-    pub(crate) fn list_changed(&mut self, list: Vec<EndpointInfo>, whole: bool) {
-        self.failed_asks = 0;
-        let states = |of: &[Endpoint]| of.iter().map(|s| (s.entry.id, s.entry.state)).collect::<Vec<_>>();
-        let before = states(&self.endpoints);
-        self.endpoints.iter_mut().filter(|_| whole).for_each(|s| s.entry.state = EndpointState::Gone);
-        for entry in list {
-            let largest = self.machine_type_sizes.entry(entry.machine_type).or_insert(entry.weight);
-            *largest = largest.max(entry.weight);
-            match self.find(entry.id) {
-                Err(i) => self.endpoints.insert(i, Endpoint::new(entry, self.settings.classes.len())),
-                Ok(i) if self.endpoints[i].entry.started_at == entry.started_at => {
-                    self.endpoints[i].entry = entry;
-                }
-                // A restarted server keeps its id, but nothing learned of it holds any more.
-                Ok(i) => self.forget(i, entry),
-            }
+    /// Counts a failure at an endpoint, and what is normal among these peers, by default the ready endpoints.
+    pub(super) fn add_failure(&mut self, i: usize, peers: Option<&[usize]>, kind: Failure, now: Timestamp) {
+        let peers = peers.unwrap_or(&self.ready);
+        let endpoints = &mut self.endpoints;
+        endpoints[i].outliers.detector(kind).recent.add(now, 1.0);
+        let recent = |peer: &usize| endpoints[*peer].outliers.detector(kind).recent.value_at(now);
+        let baseline = kind.baseline(peers.iter().map(recent).collect());
+        for peer in peers {
+            let counter = DecayingCounter::starting_with(baseline, now);
+            endpoints[*peer].outliers.detector(kind).baseline = counter;
         }
-        self.endpoints.retain(|s| s.entry.state != EndpointState::Gone || s.in_flight > 0);
-        // Live weights come twice a second: new pools for each would take a node's CPU.
-        if states(&self.endpoints) != before {
-            self.build_pools();
-        }
-        self.dispatch();
-    }
-
-    pub(crate) fn find(&self, id: EndpointId) -> Result<usize, usize> {
-        self.endpoints.binary_search_by_key(&id, |s| s.entry.id)
+        endpoints[i].outliers.detector(kind).eject(now);
     }
 }
--- a/src/balancer/time.rs
+++ b/src/balancer/interface/time.rs
@@ -1,15 +1,16 @@
 //! Instants of the node's clock, and the conversions between durations and plain microseconds.
 //!
-//! The balancer reads no clock: the node passes the present with each event. Estimators compute in microseconds as
-//! `f64`; everything else uses [`Timestamp`] and [`Duration`], which don't mix by mistake.
+//! The balancer reads no clock: the node passes the present with each event. Estimators compute in
+//! microseconds as `f64`; everything else uses [`Timestamp`] and [`Duration`], which don't mix by mistake.
 
 use std::ops::{Add, AddAssign, Sub};
 use std::time::Duration;
 
 /// An instant on the node's own clock, in whole microseconds since the clock's start.
 ///
-/// The clock only moves forward. Arithmetic saturates at both ends: a far deadline is never reached, and nothing lies
-/// before the start. The default is the start of the clock, which stands for "long ago" where an instant is unknown.
+/// The clock only moves forward. Arithmetic saturates at both ends: a far deadline is never reached, and
+/// nothing lies before the start. The default is the start of the clock, which stands for "long ago" where an
+/// instant is unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(u64);
 
--- /dev/null
+++ b/src/balancer/outliers.rs
@@ -0,0 +1,87 @@
+//! Outlier detection: an endpoint that fails more than its peers is ejected for a while.
+
+use super::decay::DecayingCounter;
+use super::interface::{Timestamp, duration_from_micros_f64};
+
+/// Ejection time in microseconds for each excess failure: going on failing makes it longer each time.
+const EJECTION_PER_FAILURE_US: f64 = 100_000.0;
+
+/// What a failure tells of the endpoint.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum Failure {
+    /// An error response: it may be about its class alone.
+    ErrorOf(usize),
+    /// A break, a rejection or silence: whatever the request was.
+    Any,
+}
+
+impl Failure {
+    /// What is normal among peers: the mean; of errors, as most may err on a class, the lower quartile.
+    pub(super) fn baseline(self, mut counts: Vec<f64>) -> f64 {
+        counts.sort_by(f64::total_cmp);
+        match self {
+            Failure::ErrorOf(_) => counts.get(counts.len() / 4).copied().unwrap_or(0.0),
+            Failure::Any => counts.iter().sum::<f64>() / counts.len().max(1) as f64,
+        }
+    }
+}
+
+/// Failures of one kind at one endpoint.
+#[derive(Clone, Copy, Default)]
+pub(super) struct OutlierDetector {
+    pub(super) recent: DecayingCounter,
+    /// How many of them are normal among its peers.
+    pub(super) baseline: DecayingCounter,
+    ejected_until: Timestamp,
+}
+
+impl OutlierDetector {
+    /// Recent failures beyond the baseline: what happens to all peers alike tells nothing of one.
+    fn excess_failures(&self, now: Timestamp) -> f64 {
+        (self.recent.value_at(now) - self.baseline.value_at(now)).max(0.0)
+    }
+
+    /// Ejects the endpoint for as long as its excess failures warrant; then it is tried again.
+    pub(super) fn eject(&mut self, now: Timestamp) {
+        let ejection_us = self.excess_failures(now) * EJECTION_PER_FAILURE_US;
+        self.ejected_until = now + duration_from_micros_f64(ejection_us);
+    }
+}
+
+/// All failures of one endpoint.
+#[derive(Default)]
+pub(super) struct EndpointOutliers {
+    any: OutlierDetector,
+    /// Errors by class: an endpoint that errs on one may serve the others well.
+    errors: Vec<OutlierDetector>,
+}
+
+impl EndpointOutliers {
+    pub(super) fn new(class_count: usize) -> EndpointOutliers {
+        EndpointOutliers {
+            any: OutlierDetector::default(),
+            errors: vec![OutlierDetector::default(); class_count],
+        }
+    }
+
+    pub(super) fn detector(&mut self, kind: Failure) -> &mut OutlierDetector {
+        match kind {
+            Failure::ErrorOf(class) => &mut self.errors[class],
+            Failure::Any => &mut self.any,
+        }
+    }
+
+    /// Recent failures that a request of this class has to expect.
+    pub(super) fn excess_failures(&self, class: usize, now: Timestamp) -> f64 {
+        self.any.excess_failures(now) + self.errors[class].excess_failures(now)
+    }
+
+    pub(super) fn is_ejected(&self, now: Timestamp) -> bool {
+        self.any.ejected_until > now
+    }
+
+    /// Whether the endpoint is ejected for its errors on this class.
+    pub(super) fn errs_on(&self, class: usize, now: Timestamp) -> bool {
+        self.errors[class].ejected_until > now
+    }
+}
--- /dev/null
+++ b/src/balancer/queue.rs
@@ -0,0 +1,91 @@
+//! The queues of requests that wait for capacity: which one goes next, and to which pool.
+
+use super::Balancer;
+use super::hash::unit_hash;
+use super::interface::{Action, TimerToken, Timestamp};
+use super::requests::QueuedRequest;
+
+/// The part of a pool's capacity that work beyond quotas may fill.
+const OVER_QUOTA_CAPACITY: f64 = 0.8;
+/// A pool takes overflow and hedges while less than this part of its capacity is filled.
+pub(super) const SPARE_CAPACITY: f64 = 0.5;
+/// Queued requests are dispatched again after so many steps of the clock.
+const DISPATCH_CLOCK_STEPS: u32 = 2;
+/// Of a class, so many may be found unsendable before its others are passed over.
+const MAX_BLOCKED_PER_CLASS: usize = 3;
+
+impl Balancer {
+    /// Sends queued requests, the most valuable first, while pools have capacity.
+    pub(super) fn dispatch(&mut self) {
+        for pool in 0..self.queues.len() {
+            let mut blocked: Vec<QueuedRequest> = Vec::new();
+            while let Some(at) = self.most_valuable(pool, &blocked) {
+                let request = self.queues[pool][at];
+                let pools = self.pools_with_capacity(pool, &request);
+                if pools.is_empty() {
+                    break;
+                }
+                self.queues[pool].swap_remove(at);
+                match pools.into_iter().find_map(|pool| self.pick(request.id, pool)) {
+                    Some(endpoint) => self.send(request.id, endpoint),
+                    None => blocked.push(request),
+                }
+            }
+            self.queues[pool].append(&mut blocked);
+        }
+        if !self.dispatch_timer_set && self.queues.iter().any(|queue| !queue.is_empty()) {
+            self.dispatch_timer_set = true;
+            let after = self.settings.clock_granularity.saturating_mul(DISPATCH_CLOCK_STEPS);
+            self.actions.push(Action::SetTimer { after, token: TimerToken::Dispatch });
+        }
+    }
+
+    /// The position of the request with the highest value density, then the nearest objective. A few that are
+    /// tied to full endpoints must not stop other classes.
+    fn most_valuable(&self, pool: usize, blocked: &[QueuedRequest]) -> Option<usize> {
+        let blocked_of = |class: usize| blocked.iter().filter(|request| request.class == class).count();
+        let queued = self.queues[pool].iter().enumerate();
+        let open = queued.filter(|(_, request)| blocked_of(request.class) < MAX_BLOCKED_PER_CLASS);
+        let valued = open.map(|(at, request)| (self.value_density(request), request.objective_at, at));
+        valued.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1))).map(|best| best.2)
+    }
+
+    /// The pool itself while it has capacity, then overflow pools: what is free may be ejected endpoints.
+    fn pools_with_capacity(&self, pool: usize, request: &QueuedRequest) -> Vec<usize> {
+        let part = if request.within_quota { 1.0 } else { OVER_QUOTA_CAPACITY };
+        let own = self.has_capacity(pool, part).then_some(pool);
+        let others = (0..self.pools.len()).filter(|other| *other != pool);
+        own.into_iter().chain(others.filter(|other| self.takes_overflow(*other, pool, request))).collect()
+    }
+
+    /// Whether a pool takes a request of another: its own tenants queue nothing and leave half of it free.
+    /// Where nodes see little load it looks free to each: there it takes, by hash, what the sizes warrant.
+    fn takes_overflow(&self, pool: usize, from: usize, request: &QueuedRequest) -> bool {
+        let size = self.pools[pool].members.len() as f64;
+        let warranted = || unit_hash(request.id, pool as u64) * self.members(from).len() as f64 <= size;
+        size > 0.0
+            && self.queues[pool].is_empty()
+            && self.has_capacity(pool, SPARE_CAPACITY)
+            && (self.concurrency.sees_load() || warranted())
+    }
+
+    /// What a response to the request, sent now, would earn for the time it takes: weights per microsecond.
+    fn value_density(&self, request: &QueuedRequest) -> f64 {
+        let class = &self.settings.classes[request.class];
+        let quota_weight = if request.within_quota { 1.0 } else { self.settings.over_quota_weight };
+        let late_weight = if self.would_be_late(request) { class.late_weight } else { 1.0 };
+        class.priority_weight * quota_weight * late_weight / self.latencies[request.class].median_us
+    }
+
+    /// Whether a response to the request, sent now, would probably miss the latency objective.
+    pub(super) fn would_be_late(&self, request: &QueuedRequest) -> bool {
+        let likely_us = self.latencies[request.class].likely_us();
+        self.now.as_micros_f64() + likely_us > request.objective_at.as_micros_f64()
+    }
+
+    /// From when on a response would probably miss it.
+    pub(super) fn late_from(&self, request: &QueuedRequest) -> Timestamp {
+        let late_from_us = request.objective_at.as_micros_f64() - self.latencies[request.class].likely_us();
+        Timestamp::from_micros(late_from_us as u64)
+    }
+}
--- /dev/null
+++ b/src/balancer/reevaluation.rs
@@ -0,0 +1,67 @@
+//! Re-evaluation of a request when its timer fires: is it to be rejected, failed or hedged?
+
+use super::Balancer;
+use super::hedging::hedge_at;
+use super::interface::{Action, RequestId, TimerToken, Timestamp};
+use super::queue::SPARE_CAPACITY;
+use super::requests::ActiveRequest;
+use super::retry::retry_deadline;
+
+impl Balancer {
+    /// Sets a timer for when the request next needs to be re-evaluated, unless one fires before.
+    pub(super) fn schedule(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let if_queued = |at: Timestamp| request.queued.then_some(at);
+        let times = [
+            (!request.body_forwarded).then_some(request.abandon_at),
+            hedge_at(request, &self.latencies[request.entry.class]),
+            if_queued(self.late_from(&request.entry)),
+            if_queued(request.queue_until),
+            retry_deadline(&self.settings, request).and_then(if_queued),
+        ];
+        let Some(next) = times.into_iter().flatten().filter(|at| *at > self.now).min() else { return };
+        if request.timer_at <= self.now || next < request.timer_at {
+            let after = next.saturating_duration_since(self.now);
+            self.actions.push(Action::SetTimer { after, token: TimerToken::Request(id) });
+            self.requests.entry(id).and_modify(|request| request.timer_at = next);
+        }
+    }
+
+    pub(super) fn reevaluate(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else { return };
+        if request.finished || request.timer_at > self.now {
+            return;
+        }
+        if self.now >= request.abandon_at || request.queued && self.is_hopeless(request) {
+            return self.reject_or_fail(id);
+        }
+        if self.needs_hedge(request)
+            && let Some(endpoint) = self.pick(id, request.pool)
+        {
+            self.send(id, endpoint);
+        }
+        self.schedule(id);
+    }
+
+    /// Whether a queued request is better answered at once than sent later.
+    fn is_hopeless(&self, request: &ActiveRequest) -> bool {
+        let entry = &request.entry;
+        let late_is_worthless = !entry.within_quota || self.settings.classes[entry.class].late_weight == 0.0;
+        // An answer late in its time costs a client more than a poor chance of a turn is worth.
+        let waited_too_long = self.now >= request.queue_until && request.not_executed();
+        let too_late = self.would_be_late(entry) && (late_is_worthless || waited_too_long);
+        let forgotten = retry_deadline(&self.settings, request).is_some_and(|deadline| deadline <= self.now);
+        self.table.ready.is_empty() || too_late || forgotten || waited_too_long && !entry.within_quota
+    }
+
+    /// Whether its endpoint seems to pause, and its pool has capacity to spare for a hedge.
+    fn needs_hedge(&self, request: &ActiveRequest) -> bool {
+        let part = if self.hedges.pay_off() { 1.0 } else { SPARE_CAPACITY };
+        let latency = &self.latencies[request.entry.class];
+        !request.queued
+            && hedge_at(request, latency).is_some_and(|at| at <= self.now)
+            && request.entry.within_quota
+            && self.queues[request.pool].is_empty()
+            && self.has_capacity(request.pool, part)
+    }
+}
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -1,46 +1,53 @@
-//! Whether, where and until when a request may be sent once more. Part of the decisions, like `src/decide.rs`.
+//! Retries and hedges: whether, where and until when a request may be sent once more.
 
 use std::time::Duration;
 
-use super::Balancer;
-use super::interface::*;
-use super::state::{ActiveRequest, AttemptState};
-use super::time::Timestamp;
+use super::interface::{EndpointInfo, Idempotency, IdempotencyScope, RequestClass, Settings, Timestamp};
+use super::requests::{ActiveRequest, AttemptState};
 
-/// For how long a repeat may be on its way. It counts once its last byte has arrived, and on a new connection that takes
-/// some round trips and the server's work.
-const ON_ITS_WAY: Duration = Duration::from_millis(20);
+/// How long a retry may take to arrive: it counts once its last byte has arrived, and on a new connection
+/// that takes some round trips and the endpoint's work.
+const MAX_TRANSIT_TIME: Duration = Duration::from_millis(20);
 
-impl Balancer {
-    pub(crate) fn allowed(&self, job: &ActiveRequest, to: &EndpointInfo) -> bool {
-        let again = |to_before: &EndpointInfo| match self.settings.classes[job.ask.class].idempotency {
-            Idempotency::Idempotent | Idempotency::IdempotentWithKey { group: IdempotencyScope::All, .. } => {
-                true
-            }
-            Idempotency::NonIdempotent => false,
-            Idempotency::IdempotentWithKey { group: IdempotencyScope::Zone, .. } => to_before.zone == to.zone,
-            Idempotency::IdempotentWithKey { group: IdempotencyScope::Cell, .. } => {
-                match (to_before.cell, to.cell) {
-                    // One that has started anew remembers nothing.
-                    (None, None) => (to_before.id, to_before.started_at) == (to.id, to.started_at),
-                    (before, now) => before == now,
-                }
+/// Whether a request may be sent to this endpoint now.
+pub(super) fn may_send(
+    settings: &Settings,
+    request: &ActiveRequest,
+    to: &EndpointInfo,
+    now: Timestamp,
+) -> bool {
+    let class = &settings.classes[request.entry.class];
+    !request.body_forwarded
+        && request.attempts.len() < usize::from(settings.max_attempts)
+        && (!request.is_in_flight() || settings.hedging)
+        && retry_deadline(settings, request).is_none_or(|deadline| now < deadline)
+        && request.attempts.iter().all(|attempt| {
+            attempt.state == AttemptState::NotExecuted || may_execute_again(class, &attempt.endpoint, to)
+        })
+}
+
+/// Whether a request that may have been executed at one endpoint may go to another, or to the same one again.
+fn may_execute_again(class: &RequestClass, earlier: &EndpointInfo, to: &EndpointInfo) -> bool {
+    match class.idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::NonIdempotent => false,
+        Idempotency::IdempotentWithKey { scope, .. } => match scope {
+            IdempotencyScope::All => true,
+            IdempotencyScope::Zone => earlier.zone == to.zone,
+            // Of endpoints without a cell each knows only its own keys, and none of them after a restart.
+            IdempotencyScope::Cell if earlier.cell.is_none() && to.cell.is_none() => {
+                (earlier.id, earlier.started_at) == (to.id, to.started_at)
             }
-        };
-        !job.passed_on
-            && job.attempts.len() < usize::from(self.settings.max_attempts)
-            && (job.out() == 0 || self.settings.hedging)
-            && self.repeat_by(job).is_none_or(|by| self.now < by)
-            && job.attempts.iter().all(|a| a.fate == AttemptState::NotExecuted || again(&a.to))
+            IdempotencyScope::Cell => earlier.cell == to.cell,
+        },
     }
+}
 
-    /// When servers begin to forget the request, if they do: what sets out from then on may run again.
-    pub(crate) fn repeat_by(&self, job: &ActiveRequest) -> Option<Timestamp> {
-        let Idempotency::IdempotentWithKey { window, .. } = self.settings.classes[job.ask.class].idempotency
-        else {
-            return None;
-        };
-        let first = job.attempts.iter().find(|a| a.fate != AttemptState::NotExecuted)?;
-        Some(first.sent_at + window - self.settings.clock_granularity.max(ON_ITS_WAY))
-    }
+/// When endpoints begin to forget the key of a request that may have been executed: what begins later might
+/// be executed again. `first attempt + idempotency window - time to arrive` (or a step of a coarse clock).
+pub(super) fn retry_deadline(settings: &Settings, request: &ActiveRequest) -> Option<Timestamp> {
+    let class = &settings.classes[request.entry.class];
+    let Idempotency::IdempotentWithKey { window, .. } = class.idempotency else { return None };
+    let first = request.attempts.iter().find(|attempt| attempt.state != AttemptState::NotExecuted)?;
+    Some(first.sent_at + window - settings.clock_granularity.max(MAX_TRANSIT_TIME))
 }
--- a/src/node/downstream/mod.rs
+++ b/src/node/downstream/mod.rs
@@ -467,7 +467,7 @@
                 .and_then(|us| us.parse::<f64>().ok())
                 .filter(|us| *us > 0.0)
                 .map(|us| Duration::from_micros(us as u64)),
-            key: key.map(|part| xxhash_rust::xxh3::xxh3_64(part.as_bytes())),
+            affinity_key: key.map(|part| xxhash_rust::xxh3::xxh3_64(part.as_bytes())),
             tenant,
         };
         let target = head.uri.path_and_query().cloned().unwrap_or(PathAndQuery::from_static("/"));
--- a/src/node/engine/mod.rs
+++ b/src/node/engine/mod.rs
@@ -11,7 +11,7 @@
 use hyper::Response;
 use mothspool::{
     Action, AttemptNumber, AttemptResult, Balancer, EndpointId, EndpointInfo, Event, Outcome, Request,
-    RequestId, Timestamp,
+    RequestId, TimerToken, Timestamp,
 };
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::task::AbortHandle;
@@ -153,7 +153,7 @@
     subscribe: Rc<Notify>,
     started: Instant,
     started_at: Timestamp,
-    timers: DelayQueue<u64>,
+    timers: DelayQueue<TimerToken>,
     open: HashMap<RequestId, ActiveRequest>,
     queue: VecDeque<Event>,
 }
@@ -272,9 +272,9 @@
         let mut actions = Vec::new();
         while let Some(event) = self.queue.pop_front() {
             let about = match &event {
-                Event::ClientDisconnected(id) | Event::TimerFired(id) | Event::ResponseStarted(id, _) => {
-                    Some(*id)
-                }
+                Event::ClientDisconnected(id)
+                | Event::TimerFired(TimerToken::Request(id))
+                | Event::ResponseStarted(id, _) => Some(*id),
                 Event::AttemptEnded(ended) => Some(ended.request),
                 _ => None,
             };
@@ -328,11 +328,12 @@
     }
 
     /// Sets a timer. The module asks again only for an earlier look, so one for each request is enough.
-    fn wake(&mut self, after: Duration, token: u64) {
+    fn wake(&mut self, after: Duration, token: TimerToken) {
         let wait = after.min(WAKE_MOST);
         let now = self.now();
         let then = now + wait;
-        match self.open.get_mut(&token) {
+        let request = if let TimerToken::Request(id) = token { self.open.get_mut(&id) } else { None };
+        match request {
             Some(ActiveRequest { timer: Some((key, due)), .. }) if *due > now => {
                 self.timers.reset(key, wait);
                 *due = then;
@@ -342,9 +343,11 @@
         }
     }
 
-    fn woken(&mut self, token: u64) {
+    fn woken(&mut self, token: TimerToken) {
         let now = self.now();
-        if let Some(open) = self.open.get_mut(&token) {
+        if let TimerToken::Request(id) = token
+            && let Some(open) = self.open.get_mut(&id)
+        {
             open.timer.take_if(|(_, due)| *due <= now);
         }
         self.queue.push_back(Event::TimerFired(token));
--- a/src/simulator/codec.rs
+++ b/src/simulator/codec.rs
@@ -128,13 +128,13 @@
                 let (id, class, remaining) = (f.u64()?, usize::from(f.u8()?), micros(f.u32()?));
                 let (work, key, flags, tenant) = (f.u32()?, f.u64()?, f.u8()?, f.u32()?);
                 let expected_work = (flags & 1 != 0).then_some(micros(work));
-                let key = (key != 0).then_some(key);
+                let affinity_key = (key != 0).then_some(key);
                 Event::RequestArrived(Request {
                     id,
                     class,
                     remaining,
                     expected_work,
-                    key,
+                    affinity_key,
                     tenant: Some(tenant),
                 })
             }
@@ -149,7 +149,7 @@
                 Event::AttemptEnded(AttemptResult { request, attempt, outcome, elapsed, request_finished })
             }
             6 => Event::ClientDisconnected(f.u64()?),
-            7 => Event::TimerFired(f.u64()?),
+            7 => Event::TimerFired(f.u64()?.into()),
             8 => {
                 let (_took, _server, _status) = (f.u32()?, f.endpoint()?, f.u8()?);
                 f.load_report()?;
@@ -286,7 +286,7 @@
     let mut classes = Vec::new();
     for i in 0..s.count("services")? {
         let key = |name: &str| format!("services.{i}.{name}");
-        let group = match s.get(&key("dedup_scope"), "all".to_string())?.as_str() {
+        let scope = match s.get(&key("dedup_scope"), "all".to_string())?.as_str() {
             "all" => IdempotencyScope::All,
             "zone" => IdempotencyScope::Zone,
             "cell" => IdempotencyScope::Cell,
@@ -295,7 +295,7 @@
         let idempotency = match s.get(&key("idempotency"), "side_effect".to_string())?.as_str() {
             "pure" => Idempotency::Idempotent,
             "token" => {
-                Idempotency::IdempotentWithKey { group, window: s.micros(&key("window_us"), Duration::ZERO)? }
+                Idempotency::IdempotentWithKey { scope, window: s.micros(&key("window_us"), Duration::ZERO)? }
             }
             "side_effect" => Idempotency::NonIdempotent,
             other => return bad(format!("setting {} is '{other}'", key("idempotency"))),
@@ -314,13 +314,13 @@
     for i in 0..s.count("parties")? {
         tenants.push(Tenant {
             quota_per_second: s.get(&format!("parties.{i}.quota_rps"), 0.0)?,
-            share: s.get(&format!("parties.{i}.share"), 0.0)?,
+            service_share: s.get(&format!("parties.{i}.share"), 0.0)?,
         });
     }
     let discovery = match s.get("discovery", "automatic".to_string())?.as_str() {
         "automatic" => DiscoveryMode::Push,
         "subscribe" => {
-            DiscoveryMode::Poll { every: s.micros("obligations.ask_every_us", Duration::from_secs(10))? }
+            DiscoveryMode::Poll { interval: s.micros("obligations.ask_every_us", Duration::from_secs(10))? }
         }
         other => return bad(format!("setting discovery is '{other}'")),
     };
@@ -401,7 +401,7 @@
             Action::SetTimer { after, token } => {
                 let out = self.record(5);
                 out.extend(short(after));
-                out.extend(token.to_le_bytes());
+                out.extend(u64::from(token).to_le_bytes());
             }
             Action::Subscribe => self.record(11).push(1),
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -28,7 +28,7 @@
 
 /// Four tenants with large quotas; one class of each kind.
 pub fn settings() -> Settings {
-    let keyed = |group| Idempotency::IdempotentWithKey { group, window: 400 * MS };
+    let keyed = |scope| Idempotency::IdempotentWithKey { scope, window: 400 * MS };
     Settings {
         node_count: 2,
         node_index: 0,
@@ -38,7 +38,7 @@
             class(keyed(IdempotencyScope::Cell)),
             class(keyed(IdempotencyScope::All)),
         ],
-        tenants: vec![Tenant { quota_per_second: 1_000.0, share: 0.25 }; 4],
+        tenants: vec![Tenant { quota_per_second: 1_000.0, service_share: 0.25 }; 4],
         over_quota_weight: 0.05,
         max_attempts: 4,
         cancellation: true,
@@ -93,7 +93,7 @@
     pub fn arrive(&mut self, class: usize, tenant: Option<u32>) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let id = self.next;
-        let request = Request { id, class, remaining: S, expected_work: None, key: None, tenant };
+        let request = Request { id, class, remaining: S, expected_work: None, affinity_key: None, tenant };
         (id, self.tell(Event::RequestArrived(request)))
     }
 
@@ -111,7 +111,7 @@
     /// Lets time pass and wakes the node for this request.
     pub fn wake(&mut self, request: RequestId, after: Duration) -> Vec<Action> {
         self.now += after;
-        self.tell(Event::TimerFired(request))
+        self.tell(Event::TimerFired(TimerToken::Request(request)))
     }
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -34,7 +34,7 @@
     /// Those that operators have taken out.
     out: BTreeSet<EndpointId>,
     asked: BTreeMap<RequestId, Asked>,
-    wakes: BTreeSet<(Timestamp, u64)>,
+    wakes: BTreeSet<(Timestamp, TimerToken)>,
     answers: usize,
     cold: BTreeMap<EndpointId, Vec<Timestamp>>,
     warm_sends: usize,
@@ -55,7 +55,7 @@
     s.node_index = dice.u32(..s.node_count);
     // Any effects, however short their windows, and any times.
     for class in &mut s.classes {
-        let group =
+        let scope =
             *dice.choice(&[IdempotencyScope::All, IdempotencyScope::Zone, IdempotencyScope::Cell]).unwrap();
         let window = match dice.u8(..8) > 0 {
             true => drawn(dice, Duration::ZERO..600 * MS),
@@ -66,7 +66,7 @@
                 .choice(&[
                     Idempotency::Idempotent,
                     Idempotency::NonIdempotent,
-                    Idempotency::IdempotentWithKey { group, window },
+                    Idempotency::IdempotentWithKey { scope, window },
                 ])
                 .unwrap();
         }
@@ -79,7 +79,7 @@
     s.tenants.truncate(dice.usize(..5));
     s.tenants.iter_mut().for_each(|t| t.quota_per_second = 20.0);
     if dice.bool() {
-        s.discovery = DiscoveryMode::Poll { every: 10 * S };
+        s.discovery = DiscoveryMode::Poll { interval: 10 * S };
     }
     s
 }
@@ -140,9 +140,9 @@
                     let harmless = match s.classes[asked.class].idempotency {
                         Idempotency::Idempotent => true,
                         Idempotency::NonIdempotent => false,
-                        Idempotency::IdempotentWithKey { group, window } => {
+                        Idempotency::IdempotentWithKey { scope, window } => {
                             by.is_some_and(|by| now < by && by + 20 * MS <= earlier.at + window)
-                                && match group {
+                                && match scope {
                                     IdempotencyScope::All => true,
                                     IdempotencyScope::Zone => earlier.to.zone == to.zone,
                                     IdempotencyScope::Cell if to.cell.is_some() => earlier.to.cell == to.cell,
@@ -173,7 +173,7 @@
                     let harmless = matches!(
                         s.classes[class].idempotency,
                         Idempotency::Idempotent
-                            | Idempotency::IdempotentWithKey { group: IdempotencyScope::All, .. }
+                            | Idempotency::IdempotentWithKey { scope: IdempotencyScope::All, .. }
                     );
                     assert!(unrun || harmless, "called harmless what may have run");
                 }
@@ -219,7 +219,8 @@
             passed_on: false,
         };
         self.asked.insert(id, asked);
-        let request = Request { id, class, remaining, expected_work: None, key: Some(id % 7), tenant };
+        let request =
+            Request { id, class, remaining, expected_work: None, affinity_key: Some(id % 7), tenant };
         self.tell(Event::RequestArrived(request));
     }
 
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -37,7 +37,7 @@
 #[test]
 fn tenantless_requests_keep_to_unlabelled_servers() {
     let mut half = settings();
-    half.tenants.iter_mut().for_each(|t| t.share = 0.15);
+    half.tenants.iter_mut().for_each(|t| t.service_share = 0.15);
     let mut node = Node::new(half, endpoints(1..21));
     let seen = reached(&mut node, &[None, Some(0), Some(1), Some(2), Some(3)]);
     let labelled: BTreeSet<_> = seen.iter().filter(|(t, _)| t.is_some()).flat_map(|(_, s)| s).collect();
@@ -214,7 +214,7 @@
 /// A pool of four and the servers in it; the other tenants' labels have their own.
 fn pool_of_four() -> (Node, Vec<EndpointId>) {
     let mut alone = settings();
-    alone.tenants.iter_mut().for_each(|t| t.share = 0.1);
+    alone.tenants.iter_mut().for_each(|t| t.service_share = 0.1);
     let mut node = Node::new(alone, endpoints(1..13));
     let pool: Vec<_> = reached(&mut node, &[Some(0)]).remove(&Some(0)).unwrap().into_iter().collect();
     assert_eq!(pool.len(), 4);
@@ -287,7 +287,7 @@
 #[test]
 fn in_share_work_goes_before_work_beyond_the_share() {
     let mut tight = settings();
-    tight.tenants = vec![Tenant { quota_per_second: 20.0, share: 1.0 }];
+    tight.tenants = vec![Tenant { quota_per_second: 20.0, service_share: 1.0 }];
     let mut node = Node::new(tight, endpoints(1..5));
     let mut sent: Vec<RequestId> = Vec::new();
     let note = |actions: &[Action], sent: &mut Vec<RequestId>| {
@@ -315,7 +315,7 @@
 #[test]
 fn discovery_is_asked_at_the_start_and_again_after_a_failure() {
     let mut asked = settings();
-    asked.discovery = DiscoveryMode::Poll { every: 10 * S };
+    asked.discovery = DiscoveryMode::Poll { interval: 10 * S };
     let mut node = Node::new(asked, vec![]);
     assert_eq!(node.tell(Event::CachedSnapshot(endpoints(1..3))), [Action::Subscribe]);
     for _ in 0..10 {
@@ -414,8 +414,14 @@
         let mut node = Node::new(Settings { key_affinity: warm, ..settings() }, endpoints(1..11));
         let mut seen = BTreeSet::new();
         for id in 1..=200 {
-            let request =
-                Request { id, class: SAFE, remaining: S, expected_work: None, key: Some(9), tenant: Some(0) };
+            let request = Request {
+                id,
+                class: SAFE,
+                remaining: S,
+                expected_work: None,
+                affinity_key: Some(9),
+                tenant: Some(0),
+            };
             seen.extend(sends(&node.tell(Event::RequestArrived(request)), id));
             node.now += 10 * MS;
             node.end(id, 0, Outcome::Served, 10 * MS);
@@ -488,7 +494,7 @@
 #[test]
 fn only_refused_over_share_work_is_asked_to_stay_away() {
     let mut tight = Settings { max_retry_after: 2 * S, ..settings() };
-    tight.tenants = vec![Tenant { quota_per_second: 4.0, share: 1.0 }];
+    tight.tenants = vec![Tenant { quota_per_second: 4.0, service_share: 1.0 }];
     let mut node = Node::new(tight, endpoints(1..5));
     (0..20).for_each(|_| drop(node.arrive(SAFE, Some(0))));
     let stay = |actions: &[Action], id| {
@@ -498,9 +504,9 @@
         })
     };
     node.now += 295 * MS;
-    assert_eq!(stay(&node.tell(Event::TimerFired(20)), 20), Some(2 * S));
+    assert_eq!(stay(&node.tell(Event::TimerFired(TimerToken::Request(20))), 20), Some(2 * S));
     node.now += 695 * MS;
-    assert_eq!(stay(&node.tell(Event::TimerFired(1)), 1), Some(Duration::ZERO));
+    assert_eq!(stay(&node.tell(Event::TimerFired(TimerToken::Request(1))), 1), Some(Duration::ZERO));
 }
 
 /// Answers five times slower than usual, but in time, while more work waits than fits: holding more jams servers.
@@ -521,7 +527,7 @@
         for action in actions {
             match action {
                 Action::Send { request, .. } => out.push((node.now + 50 * MS, request)),
-                Action::SetTimer { token, .. } if token > node.next => {
+                Action::SetTimer { token, .. } if !matches!(token, TimerToken::Request(_)) => {
                     drop(node.tell(Event::TimerFired(token)));
                 }
                 _ => {}
@@ -622,7 +628,7 @@
     assert!(!refused(&node.wake(id, 100 * MS), id));
     assert!(stays(&node.wake(id, 151 * MS), id));
     // Beyond its tenant's share it does not wait for a miss of the aim.
-    let tenants = vec![Tenant { quota_per_second: 4.0, share: 1.0 }];
+    let tenants = vec![Tenant { quota_per_second: 4.0, service_share: 1.0 }];
     let classes = vec![RequestClass { latency_objective: 800 * MS, ..class(Idempotency::Idempotent) }];
     let tight = Settings { max_retry_after: 2 * S, tenants, classes, ..settings() };
     let mut node = Node::new(tight, endpoints(1..9));
@@ -770,7 +776,7 @@
 /// few servers, cold ones among them.
 #[test]
 fn a_small_pool_takes_its_part_of_what_a_large_one_cannot_take_at_many_nodes() {
-    let tenants = vec![Tenant { quota_per_second: 1_000.0, share: 0.005 }; 4];
+    let tenants = vec![Tenant { quota_per_second: 1_000.0, service_share: 0.005 }; 4];
     let few = |node_index| Settings { tenants: tenants.clone(), ..many(200, node_index) };
     let of = |node: &mut Node, tenants: &[Option<u32>]| -> BTreeSet<EndpointId> {
         reached(node, tenants).into_values().flatten().collect()
@@ -925,7 +931,7 @@
         class: 99,
         remaining: Duration::ZERO,
         expected_work: None,
-        key: None,
+        affinity_key: None,
         tenant: Some(77),
     };
     assert!(refused(&node.tell(Event::RequestArrived(request)), 900), "an unknown class");
@@ -934,7 +940,7 @@
     assert!(refused(&node.tell(Event::RequestArrived(request)), 901), "no time left");
     node.tell(Event::ResponseStarted(12_345, 3));
     node.tell(Event::ClientDisconnected(12_345));
-    node.tell(Event::TimerFired(12_345));
+    node.tell(Event::TimerFired(TimerToken::Request(12_345)));
     assert_eq!(node.balancer.tracked_requests(), 0);
     let mut unlisted = Balancer::new(settings(), 1).unwrap();
     let mut actions = Vec::new();
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -36,7 +36,7 @@
         class: 0,
         remaining: Duration::from_micros(240_000),
         expected_work: Some(Duration::from_micros(12_000)),
-        key: Some(0x91f0_3b7c_55d2_0a64),
+        affinity_key: Some(0x91f0_3b7c_55d2_0a64),
         tenant: Some(2),
     };
     let expected = [Record::Node(3), Record::Event(Event::RequestArrived(request))];
@@ -48,7 +48,7 @@
     let text = "0300 0100000000000000 02 01000000 e02e0000 0000000000000000 02 00000000";
     let got = records(&mut Decoder::default(), text);
     let [Record::Event(Event::RequestArrived(request))] = got[..] else { panic!("{got:?}") };
-    assert_eq!((request.expected_work, request.key, request.class), (None, None, 2));
+    assert_eq!((request.expected_work, request.affinity_key, request.class), (None, None, 2));
 }
 
 #[test]
@@ -65,7 +65,7 @@
         ("0400 0100000000000000 0a124a07 8b13 0200 44480000", vec![Event::ResponseStarted(1, 2)]),
         (ended, vec![Event::AttemptEnded(ended_event)]),
         ("0600 192b6f0eec3e0600", vec![Event::ClientDisconnected(0x0006_3eec_0e6f_2b19)]),
-        ("0700 4d00000000000000", vec![Event::TimerFired(0x4d)]),
+        ("0700 4d00000000000000", vec![Event::TimerFired(TimerToken::Request(0x4d))]),
         ("0800 44480000 0a124a07 8b13 00 01 0000803f", vec![]),
         ("0900 01000000 0200 6869", vec![]),
         ("0200 03 0000000000000000 ff", vec![Event::DiscoveryFailed]),
@@ -150,12 +150,12 @@
     assert_eq!(
         s.classes[0].idempotency,
         Idempotency::IdempotentWithKey {
-            group: IdempotencyScope::Cell,
+            scope: IdempotencyScope::Cell,
             window: Duration::from_micros(4_000_000)
         }
     );
     assert_eq!((s.node_count, s.node_index, s.tenants[0].quota_per_second), (2, 1, 52.0));
-    assert_eq!(s.discovery, DiscoveryMode::Poll { every: Duration::from_micros(10_000_000) });
+    assert_eq!(s.discovery, DiscoveryMode::Poll { interval: Duration::from_micros(10_000_000) });
     assert_eq!((s.max_attempts, s.cancellation, s.hedging), (1, false, false));
     let count = parse_settings(b"services.count=4000000000").unwrap_err();
     assert!(count.to_string().contains("services.count"));
@@ -165,7 +165,10 @@
 fn a_reply() {
     let mut reply = Reply::default();
     reply.action(3, Action::Send { request: 0x0007_dde1_5d3a_91c4, endpoint: SERVER, begin_by: None });
-    reply.action(3, Action::SetTimer { after: Duration::from_micros(500_000), token: 0x4d });
+    reply.action(
+        3,
+        Action::SetTimer { after: Duration::from_micros(500_000), token: TimerToken::Request(0x4d) },
+    );
     reply.action(5, Action::Reject { request: 1, retry_after: Duration::from_micros(9) });
     reply.action(5, Action::Fail(2));
     reply.action(5, Action::Cancel(2, 1));
