--- a/src/settings_format.rs
+++ b/src/settings_format.rs
@@ -105,7 +105,7 @@
 fn idempotency(
     lines: &Lines<'_>,
     path: &str,
-    group: IdempotencyScope,
+    scope: IdempotencyScope,
 ) -> Result<Idempotency, SettingsFormatError> {
     let idempotency_path = format!("{path}.idempotency");
     match lines.text(&idempotency_path) {
@@ -113,7 +113,7 @@
         Some("pure") => Ok(Idempotency::Idempotent),
         Some("token") => {
             let window = lines.duration(&format!("{path}.window_us"), Duration::ZERO)?;
-            Ok(Idempotency::IdempotentWithKey { group, window })
+            Ok(Idempotency::IdempotentWithKey { scope, window })
         }
         Some(other) => Err(invalid(&idempotency_path, other, "pure, token or side_effect")),
     }
@@ -123,7 +123,7 @@
 fn tenant(lines: &Lines<'_>, path: &str) -> Result<Tenant, SettingsFormatError> {
     Ok(Tenant {
         quota_per_second: lines.value(&format!("{path}.quota_rps"), 0.0)?,
-        share: lines.value(&format!("{path}.share"), 0.0)?,
+        service_share: lines.value(&format!("{path}.share"), 0.0)?,
     })
 }
 
@@ -132,8 +132,8 @@
     match lines.text("discovery") {
         None | Some("automatic") => Ok(DiscoveryMode::Push),
         Some("subscribe") => {
-            let every = lines.duration("obligations.ask_every_us", DEFAULT_POLL_INTERVAL)?;
-            Ok(DiscoveryMode::Poll { every })
+            let interval = lines.duration("obligations.ask_every_us", DEFAULT_POLL_INTERVAL)?;
+            Ok(DiscoveryMode::Poll { interval })
         }
         Some(other) => Err(invalid("discovery", other, "automatic or subscribe")),
     }
--- a/src/simulator/decode.rs
+++ b/src/simulator/decode.rs
@@ -68,7 +68,7 @@
             code::STARTED => started(fields)?,
             code::COMPLETED => completed(fields)?,
             code::VANISHED => Event::ClientDisconnected(fields.u64("Vanished.ref")?),
-            code::WAKEUP => Event::TimerFired(fields.u64("Wakeup.nonce")?),
+            code::WAKEUP => Event::TimerFired(fields.u64("Wakeup.nonce")?.into()),
             code => return Err(WireError::UnknownCode { field: "record code", code }),
         };
         Ok(Some(Record::Event(event)))
@@ -121,7 +121,7 @@
         class,
         remaining,
         expected_work: (state_bits & COST_HINT_VALID != 0).then_some(work),
-        key: (key != 0).then_some(key),
+        affinity_key: (key != 0).then_some(key),
         tenant: Some(tenant),
     }))
 }
