--- a/src/node/downstream/request.rs
+++ b/src/node/downstream/request.rs
@@ -68,7 +68,7 @@
             class: self.class.index,
             remaining: self.timeout,
             expected_work: self.expected_work(),
-            key: self.key(),
+            affinity_key: self.affinity_key(),
             tenant: self.tenant,
         }
     }
@@ -80,7 +80,7 @@
     }
 
     /// A hash of what the request concerns: the last part of a path that has more than the class.
-    fn key(&self) -> Option<u64> {
+    fn affinity_key(&self) -> Option<u64> {
         let part = self.uri.path().split('/').skip(2).last().filter(|part| !part.is_empty())?;
         Some(xxhash_rust::xxh3::xxh3_64(part.as_bytes()))
     }
--- a/src/simulator/encode.rs
+++ b/src/simulator/encode.rs
@@ -37,7 +37,7 @@
                 self.record(code::ERROR).u64(request);
             }
             Action::Cancel(request, attempt) => self.revoke(request, attempt),
-            Action::SetTimer { after, token } => self.schedule(after, token),
+            Action::SetTimer { after, token } => self.schedule(after, token.into()),
             Action::Subscribe => {
                 self.record(code::OBSERVE).u8(OBSERVE_ACTIVE);
             }
--- a/tests/simulator/decoding.rs
+++ b/tests/simulator/decoding.rs
@@ -28,7 +28,7 @@
         class: 0,
         remaining: Duration::from_micros(240_000),
         expected_work: Some(Duration::from_micros(12_000)),
-        key: Some(0x91f0_3b7c_55d2_0a64),
+        affinity_key: Some(0x91f0_3b7c_55d2_0a64),
         tenant: Some(2),
     };
     let expected = [Record::Node(3), Record::Event(Event::RequestArrived(request))];
@@ -40,7 +40,7 @@
     let text = "0300 0100000000000000 02 01000000 e02e0000 0000000000000000 02 00000000";
     let got = records(&mut Decoder::default(), text);
     let [Record::Event(Event::RequestArrived(request))] = got[..] else { panic!("{got:?}") };
-    assert_eq!((request.expected_work, request.key, request.class), (None, None, 2));
+    assert_eq!((request.expected_work, request.affinity_key, request.class), (None, None, 2));
 }
 
 #[test]
@@ -57,7 +57,7 @@
         ("0400 0100000000000000 0a124a07 8b13 0200 44480000", vec![Event::ResponseStarted(1, 2)]),
         (ended, vec![Event::AttemptEnded(ended_event)]),
         ("0600 192b6f0eec3e0600", vec![Event::ClientDisconnected(0x0006_3eec_0e6f_2b19)]),
-        ("0700 4d00000000000000", vec![Event::TimerFired(0x4d)]),
+        ("0700 4d00000000000000", vec![Event::TimerFired(TimerToken::Request(0x4d))]),
         ("0800 44480000 0a124a07 8b13 00 01 0000803f", vec![]),
         ("0900 01000000 0200 6869", vec![]),
         ("0200 03 0000000000000000 ff", vec![Event::DiscoveryFailed]),
--- a/tests/simulator/encoding.rs
+++ b/tests/simulator/encoding.rs
@@ -11,7 +11,10 @@
 fn encodes_every_action() {
     let mut reply = Reply::default();
     reply.push(3, Action::Send { request: 0x0007_dde1_5d3a_91c4, endpoint: ENDPOINT, begin_by: None });
-    reply.push(3, Action::SetTimer { after: Duration::from_micros(500_000), token: 0x4d });
+    reply.push(
+        3,
+        Action::SetTimer { after: Duration::from_micros(500_000), token: TimerToken::Request(0x4d) },
+    );
     reply.push(5, Action::Reject { request: 1, retry_after: Duration::from_micros(9) });
     reply.push(5, Action::Fail(2));
     reply.push(5, Action::Cancel(2, 1));
--- a/tests/simulator/settings.rs
+++ b/tests/simulator/settings.rs
@@ -14,12 +14,12 @@
     assert_eq!(
         s.classes[0].idempotency,
         Idempotency::IdempotentWithKey {
-            group: IdempotencyScope::Cell,
+            scope: IdempotencyScope::Cell,
             window: Duration::from_micros(4_000_000)
         }
     );
     assert_eq!((s.node_count, s.node_index, s.tenants[0].quota_per_second), (2, 1, 52.0));
-    assert_eq!(s.discovery, DiscoveryMode::Poll { every: Duration::from_micros(10_000_000) });
+    assert_eq!(s.discovery, DiscoveryMode::Poll { interval: Duration::from_micros(10_000_000) });
     assert_eq!((s.max_attempts, s.cancellation, s.hedging), (1, false, false));
     let count = parse_settings(b"services.count=4000000000").unwrap_err();
     assert!(count.to_string().contains("services.count"));
