--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! The modules depend on each other one way: the `interface`, then estimators and tables that know nothing of
 //! the [`Balancer`], then the balancer's state here, then the modules that decide by it (`attempts`,
-//! `dispatch`, `feedback`, `membership`, `reevaluation`, `selection`, `streaming`).
+//! `feedback`, `membership`, `queue`, `reevaluation`, `selection`, `streaming`).
 
 mod admission;
 mod attempts;
