--- /dev/null
+++ b/tests/balancer/concurrency.rs
@@ -0,0 +1,150 @@
+//! The adaptive concurrency limit.
+
+use std::time::Duration;
+
+use mothspool::*;
+
+use crate::support::*;
+
+/// All endpoints respond four times slower than they did, always late: the limit must not shrink to nothing.
+#[test]
+fn a_slowdown_of_all_endpoints_does_not_close_them() {
+    let mut node = TestNode::new(settings(), endpoints(1..9));
+    let mut out: Vec<(Timestamp, RequestId)> = Vec::new();
+    let mut sent = [0, 0];
+    for step in 0..4_000 {
+        let slow = usize::from(step >= 2_000);
+        node.now += 5 * MS;
+        let mut actions = node.arrive(IDEMPOTENT, Some((step % 4) as u32)).1;
+        let due: Vec<_> = out.iter().filter(|(at, _)| *at <= node.now).map(|(_, id)| *id).collect();
+        out.retain(|(at, _)| *at > node.now);
+        for id in due {
+            actions.extend(node.end_attempt(
+                id,
+                0,
+                Outcome::Served,
+                if slow == 1 { 400 * MS } else { 100 * MS },
+            ));
+        }
+        for action in actions {
+            if let Action::Send { request, .. } = action {
+                out.push((node.now + if slow == 1 { 400 * MS } else { 100 * MS }, request));
+                sent[slow] += 1;
+            }
+        }
+    }
+    assert!(sent[1] * 3 > sent[0], "{} sent before, {} while slow", sent[0], sent[1]);
+}
+
+/// Endpoints of three times the size take three times as much of this node's work once all are full.
+#[test]
+fn capacity_follows_weight() {
+    let sized =
+        |s: EndpointInfo| EndpointInfo { weight: if s.id.is_multiple_of(2) { 30.0 } else { 10.0 }, ..s };
+    let list: Vec<_> = endpoints(1..13).into_iter().map(sized).collect();
+    let mut node = TestNode::new(Settings { node_count: 1, ..settings() }, list);
+    let mut in_flight = [0, 0];
+    for n in 0..200 {
+        let (id, actions) = node.arrive(IDEMPOTENT, Some(n % 4));
+        sends(&actions, id).iter().for_each(|s| in_flight[(s % 2) as usize] += 1);
+    }
+    let [large, small] = in_flight;
+    assert!(small > 0 && large >= small * 2, "{large} at six large endpoints, {small} at six small ones");
+}
+
+/// Responses take five times as long as usual, but are in time, while more work is queued than fits: a higher
+/// limit would only overload the endpoints.
+#[test]
+fn the_limit_does_not_grow_while_endpoints_are_slowed_down() {
+    let mut node = TestNode::new(settings(), endpoints(1..9));
+    endpoints_reached(&mut node, &[Some(0), Some(1), Some(2), Some(3)]);
+    let (mut out, mut most) = (Vec::<(Timestamp, RequestId)>::new(), [0, 0]);
+    for step in 0..600 {
+        node.now += 5 * MS;
+        let mut actions = node.arrive(IDEMPOTENT, Some(step % 4)).1;
+        actions.extend(node.arrive(IDEMPOTENT, Some(step % 4)).1);
+        let due: Vec<_> = out.iter().filter(|(at, _)| *at <= node.now).map(|(_, id)| *id).collect();
+        out.retain(|(at, _)| *at > node.now);
+        for id in due {
+            actions.extend(node.end_attempt(id, 0, Outcome::Served, 50 * MS));
+        }
+        for action in actions {
+            match action {
+                Action::Send { request, .. } => out.push((node.now + 50 * MS, request)),
+                Action::SetTimer { token, .. } if !matches!(token, TimerToken::Request(_)) => {
+                    drop(node.handle(Event::TimerFired(token)));
+                }
+                _ => {}
+            }
+        }
+        let part = usize::from(step >= 100);
+        most[part] = out.len().max(most[part]);
+    }
+    assert!(most[1] <= most[0] * 2, "at most {} in flight at first, then {}", most[0], most[1]);
+}
+
+/// Sends some requests each 2 ms for 2 s to eight endpoints that take one at a time; returns how many are in
+/// flight at the end. With `stops`, no endpoint responds any more in the last 0.6 s.
+fn in_flight_after(each: usize, work: Duration, stops: bool) -> usize {
+    let mut node = TestNode::new(Settings { node_count: 1, ..settings() }, endpoints(1..9));
+    let mut out: Vec<(Timestamp, Timestamp, RequestId)> = Vec::new();
+    let mut free_at = [START; 9];
+    for step in 0..1_000 {
+        node.now += 2 * MS;
+        let mut actions = Vec::new();
+        for _ in 0..each {
+            actions.extend(node.arrive(IDEMPOTENT, Some(step % 4)).1);
+        }
+        let due = |o: &(Timestamp, Timestamp, RequestId)| o.0 <= node.now && !(stops && step >= 700);
+        let (back, rest): (Vec<_>, Vec<_>) = out.into_iter().partition(due);
+        out = rest;
+        for (_, sent_at, id) in back {
+            actions.extend(node.end_attempt(
+                id,
+                0,
+                Outcome::Served,
+                node.now.saturating_duration_since(sent_at),
+            ));
+        }
+        for action in actions {
+            if let Action::Send { request, endpoint, .. } = action {
+                let free = &mut free_at[endpoint as usize];
+                *free = node.now.max(*free) + work;
+                out.push((*free, node.now, request));
+            }
+        }
+    }
+    out.len()
+}
+
+/// A node that has just started has seen little, but what it saw at once is its rate: it does not queue
+/// the first seconds' work.
+#[test]
+fn the_limit_fits_soon_after_the_start() {
+    let out = in_flight_after(1, 14 * MS, true);
+    assert!(out > 20, "{out} in flight where the arriving work alone keeps 7 busy");
+}
+
+/// The latency of a class not met yet is a guess: counted for real, the first responses raised the limit
+/// tenfold.
+#[test]
+fn a_guessed_latency_does_not_raise_the_limit() {
+    let classes =
+        vec![RequestClass { latency_objective: 40 * S, deadline: 50 * S, ..class(Idempotency::Idempotent) }];
+    let mut node = TestNode::new(Settings { classes, node_count: 1, ..settings() }, endpoints(1..9));
+    for _ in 0..3 {
+        let id = node.arrive(IDEMPOTENT, Some(0)).0;
+        node.now += 10 * MS;
+        node.end_attempt(id, 0, Outcome::Served, 10 * MS);
+    }
+    let arrivals = (0..100).map(|n| node.arrive(IDEMPOTENT, Some(n % 4)));
+    let sent = arrivals.filter(|(id, actions)| !sends(actions, *id).is_empty()).count();
+    assert!((8..=24).contains(&sent), "{sent} in flight at eight endpoints");
+}
+
+/// More than endpoints can do arrives within all quotas: the limit follows what they serve.
+#[test]
+fn a_burst_does_not_overload_the_endpoints() {
+    let out = in_flight_after(4, 10 * MS, false);
+    assert!(out <= 80, "{out} in flight at eight endpoints that take one at a time");
+}
--- /dev/null
+++ b/tests/balancer/hedging.rs
@@ -0,0 +1,36 @@
+//! Hedged attempts.
+
+use mothspool::*;
+
+use crate::support::*;
+
+#[test]
+fn a_request_at_a_pausing_endpoint_is_hedged() {
+    let mut node = TestNode::new(settings(), endpoints(1..11));
+    let (id, first) = node.arrive(IDEMPOTENT, Some(0));
+    let paused = sends(&first, id)[0];
+    let hedge = node.fire_timer(id, 250 * MS);
+    assert!(sends(&hedge, id).len() == 1 && sends(&hedge, id)[0] != paused);
+}
+
+/// Hedges of long requests lose to them and fill endpoints; hedges past pausing endpoints win.
+#[test]
+fn hedges_fill_a_pool_beyond_half_only_while_some_of_them_win() {
+    for winner in [0, 1] {
+        let mut node = TestNode::new(Settings { node_count: 1, ..settings() }, endpoints(1..11));
+        for _ in 0..20 {
+            endpoints_reached(&mut node, &[Some(0)]);
+            let (id, _) = node.arrive(IDEMPOTENT, Some(0));
+            assert_eq!(
+                sends(&node.fire_timer(id, 290 * MS), id).len(),
+                1,
+                "an idle pool has room for a hedge"
+            );
+            node.end_attempt(id, winner, Outcome::Served, 250 * MS);
+            node.end_attempt(id, 1 - winner, Outcome::Cancelled, 250 * MS);
+        }
+        let ids: Vec<_> = (0..7).map(|_| node.arrive(IDEMPOTENT, Some(0)).0).collect();
+        let hedged = !sends(&node.fire_timer(ids[0], 290 * MS), ids[0]).is_empty();
+        assert_eq!(hedged, winner == 1, "attempt {winner} had won the races");
+    }
+}
--- /dev/null
+++ b/tests/balancer/judge.rs
@@ -0,0 +1,95 @@
+//! Judges each action of a node by the rules.
+
+use std::time::Duration;
+
+use mothspool::*;
+
+use crate::world::{SentAttempt, SentRequest, World};
+
+/// How long a retry may take to arrive at its endpoint.
+const TRANSIT_TIME: Duration = Duration::from_millis(20);
+
+impl World {
+    /// Judges an action, and takes note of it.
+    pub fn judge(&mut self, action: &Action) {
+        match *action {
+            Action::Send { request, endpoint, begin_by } => self.judge_send(request, endpoint, begin_by),
+            Action::Reject { request, .. } => self.judge_answer(request, true),
+            Action::Fail(request) => self.judge_answer(request, false),
+            Action::Cancel(request, attempt) => {
+                assert!(self.settings.cancellation, "cancelled where that is not allowed");
+                let attempts = &self.requests[&request].attempts;
+                assert!(attempts.len() > usize::from(attempt), "cancelled what was never sent");
+            }
+            Action::SetTimer { after, token } => {
+                self.timers.insert((self.node.now + after, token));
+            }
+            Action::Subscribe => {}
+        }
+    }
+
+    fn judge_send(&mut self, id: RequestId, to: EndpointId, begin_by: Option<Timestamp>) {
+        let (now, s) = (self.node.now, &self.settings);
+        let request = self.requests.get_mut(&id).expect("a request that has arrived");
+        assert!(!request.closed, "sent after its end");
+        assert!(!request.body_forwarded, "sent without its body");
+        let endpoint = self.listed[&to];
+        assert_eq!(endpoint.state, EndpointState::Ready, "sent to an endpoint that drains or is gone");
+        assert!(!self.under_maintenance.contains(&to), "sent to an endpoint under maintenance");
+        let in_flight = request.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count();
+        assert!(in_flight == 0 || s.hedging, "a hedge where there may be none");
+        assert!(request.attempts.len() < usize::from(s.max_attempts), "too many attempts");
+        for earlier in &request.attempts {
+            let class = &s.classes[request.class];
+            let harmless = earlier.outcome.is_some_and(Outcome::not_executed)
+                || may_execute_again(class, earlier, &endpoint, now, begin_by);
+            assert!(harmless, "it could be executed twice");
+        }
+        request.attempts.push(SentAttempt { endpoint, at: now, outcome: None });
+    }
+
+    fn judge_answer(&mut self, id: RequestId, rejected: bool) {
+        let request = self.requests.get_mut(&id).expect("a request that has arrived");
+        assert!(!request.closed, "answered twice");
+        assert!(self.node.now <= request.abandon_at, "answered too late");
+        let class = &self.settings.classes[request.class];
+        assert!(!rejected || is_harmless_to_retry(class, request), "rejected what may have been executed");
+        request.closed = true;
+        self.answers += 1;
+    }
+}
+
+/// Whether a client may send a request again.
+fn is_harmless_to_retry(class: &RequestClass, request: &SentRequest) -> bool {
+    let not_executed = request.attempts.iter().all(|a| a.outcome.is_some_and(Outcome::not_executed));
+    not_executed
+        || matches!(
+            class.idempotency,
+            Idempotency::Idempotent | Idempotency::IdempotentWithKey { scope: IdempotencyScope::All, .. }
+        )
+}
+
+/// Whether a request may go to an endpoint though an earlier attempt may have been executed.
+fn may_execute_again(
+    class: &RequestClass,
+    earlier: &SentAttempt,
+    to: &EndpointInfo,
+    now: Timestamp,
+    begin_by: Option<Timestamp>,
+) -> bool {
+    let before = &earlier.endpoint;
+    match class.idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::NonIdempotent => false,
+        Idempotency::IdempotentWithKey { scope, window } => {
+            let in_time = |by: Timestamp| now < by && by + TRANSIT_TIME <= earlier.at + window;
+            let same_scope = match scope {
+                IdempotencyScope::All => true,
+                IdempotencyScope::Zone => before.zone == to.zone,
+                IdempotencyScope::Cell if to.cell.is_some() => before.cell == to.cell,
+                IdempotencyScope::Cell => (before.id, before.started_at) == (to.id, to.started_at),
+            };
+            begin_by.is_some_and(in_time) && same_scope
+        }
+    }
+}
--- /dev/null
+++ b/tests/balancer/main.rs
@@ -0,0 +1,18 @@
+//! The balancer through its public interface: scenarios of one node by concern, and random legal sequences.
+
+mod admission;
+mod concurrency;
+mod hedging;
+mod judge;
+mod lifecycle;
+mod maintenance;
+mod outliers;
+mod pools;
+mod retries;
+mod rules;
+mod selection;
+mod slow_start;
+mod streaming;
+mod subsets;
+mod support;
+mod world;
--- /dev/null
+++ b/tests/balancer/maintenance.rs
@@ -0,0 +1,80 @@
+//! Endpoints that operators take out of use and put back.
+
+use mothspool::*;
+
+use crate::support::*;
+
+#[test]
+fn an_endpoint_under_maintenance_is_not_ready_whatever_lists_say() {
+    let mut node = TestNode::new(settings(), endpoints(1..3));
+    endpoints_reached(&mut node, &[None, Some(0)]);
+    node.handle(Event::EnterMaintenance(1));
+    let lists = [
+        Event::EndpointDelta(vec![EndpointInfo { state: EndpointState::Draining, ..endpoint(1) }]),
+        Event::EndpointDelta(vec![EndpointInfo { state: EndpointState::Gone, ..endpoint(1) }]),
+        Event::EndpointDelta(vec![EndpointInfo { started_at: node.now, ..endpoint(1) }]),
+        Event::EndpointSnapshot(endpoints(1..3)),
+    ];
+    for list in lists {
+        node.handle(list);
+        let seen = endpoints_reached(&mut node, &[None, Some(0)]);
+        assert!(seen.values().flatten().all(|id| *id == 2), "{seen:?}");
+        // Neither a retry nor a hedge goes there, also when no other endpoint is left.
+        let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
+        assert_eq!(sends(&actions, id), [2]);
+        assert_eq!(sends(&node.fire_timer(id, 290 * MS), id), []);
+        assert!(sends(&node.end_attempt(id, 0, Outcome::Reset, 290 * MS), id).iter().all(|to| *to == 2));
+        node.handle(Event::ClientDisconnected(id));
+        node.end_attempt(id, 1, Outcome::Cancelled, MS);
+    }
+    node.handle(Event::EnterMaintenance(2));
+    let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
+    assert!(rejected(&actions, id), "none is ready");
+    // It was taken out twice; putting it back once is enough.
+    node.handle(Event::EnterMaintenance(1));
+    node.handle(Event::ExitMaintenance(1, node.now));
+    let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
+    assert_eq!(sends(&actions, id), [1], "{actions:?}");
+}
+
+#[test]
+fn an_endpoint_after_maintenance_is_probed_at_once_and_gets_little_until_it_is_warm() {
+    let mut node = TestNode::new(settings(), endpoints(1..5));
+    endpoints_reached(&mut node, &[Some(0)]);
+    node.handle(Event::EnterMaintenance(3));
+    node.now += 5 * S;
+    node.handle(Event::ExitMaintenance(3, node.now));
+    let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
+    assert_eq!(sends(&actions, id), [3], "the first request shows that it is in use again");
+    node.end_attempt(id, 0, Outcome::Served, 20 * MS);
+    let mut tried = 0;
+    for _ in 0..400 {
+        let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
+        tried += usize::from(sends(&actions, id) == [3]);
+        node.now += MS;
+        node.end_attempt(id, 0, Outcome::Served, 20 * MS);
+    }
+    assert!(tried < 40, "{tried} of 400 are more than the part of an endpoint that is warming up");
+}
+
+#[test]
+fn what_was_learned_of_an_endpoint_is_forgotten_after_maintenance() {
+    let (mut node, pool) = pool_of_four();
+    let failing = pool[0];
+    // One attempt of before is still in flight; its end tells nothing of the endpoint after its return.
+    let late = loop {
+        let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
+        if sends(&actions, id) == [failing] {
+            break id;
+        }
+        node.end_attempt(id, 0, Outcome::Served, MS);
+    };
+    // What was lost is not queued, and so not sent there later.
+    failures_met(&mut node, NON_IDEMPOTENT, &[failing], Outcome::Reset, 100);
+    assert_eq!(failures_met(&mut node, NON_IDEMPOTENT, &[failing], Outcome::Reset, 40), 0, "it is ejected");
+    node.handle(Event::EnterMaintenance(failing));
+    node.now += MS;
+    node.handle(Event::ExitMaintenance(failing, node.now));
+    let retry = node.end_attempt(late, 0, Outcome::Reset, 200 * MS);
+    assert_eq!(sends(&retry, late), [failing]);
+}
--- /dev/null
+++ b/tests/balancer/retries.rs
@@ -0,0 +1,96 @@
+//! Retries: whether, where and until when.
+
+use mothspool::*;
+
+use crate::support::*;
+
+#[test]
+fn a_non_idempotent_request_is_retried_only_if_it_was_not_executed() {
+    let mut node = TestNode::new(settings(), endpoints(1..11));
+    let (id, _) = node.arrive(NON_IDEMPOTENT, Some(0));
+    let actions = node.end_attempt(id, 0, Outcome::Rejected, MS);
+    assert_eq!(sends(&actions, id).len(), 1);
+    let actions = node.end_attempt(id, 1, Outcome::Reset, MS);
+    assert!(failed(&actions, id) && sends(&actions, id).is_empty());
+}
+
+#[test]
+fn a_keyed_request_is_retried_within_its_scope_and_window() {
+    let mut node = TestNode::new(settings(), endpoints(1..41));
+    let (id, first) = node.arrive(KEYED_BY_CELL, Some(0));
+    let first = sends(&first, id)[0];
+    let retry = node.end_attempt(id, 0, Outcome::Error, MS);
+    let retry = sends(&retry, id);
+    assert!(retry.len() == 1 && retry[0] % 3 == first % 3);
+    let (id, _) = node.arrive(KEYED_BY_CELL, Some(0));
+    node.now += 500 * MS;
+    let actions = node.end_attempt(id, 0, Outcome::Error, 500 * MS);
+    assert!(failed(&actions, id), "its endpoints have forgotten it");
+}
+
+/// A list may name no cells: each endpoint then knows its own keys alone, until it restarts.
+#[test]
+fn a_keyed_request_is_retried_only_at_its_endpoint_where_no_cells_are_listed() {
+    for restarts in [false, true] {
+        let alone = |s: EndpointInfo| EndpointInfo { cell: None, ..s };
+        let list: Vec<EndpointInfo> = endpoints(1..41).into_iter().map(alone).collect();
+        let mut node = TestNode::new(settings(), list);
+        let (id, first) = node.arrive(KEYED_BY_CELL, Some(0));
+        let first = sends(&first, id)[0];
+        if restarts {
+            let now = node.now;
+            node.handle(Event::EndpointDelta(vec![EndpointInfo {
+                started_at: now,
+                ..alone(endpoint(first))
+            }]));
+        }
+        let retry = node.end_attempt(id, 0, Outcome::Error, MS);
+        let expected = if restarts { vec![] } else { vec![first] };
+        assert_eq!((sends(&retry, id), failed(&retry, id)), (expected, restarts));
+    }
+}
+
+/// Connections may come up late: a retry says until when it may begin. Windows are 400 ms here, from the
+/// first attempt on; 20 ms of them are the time to arrive.
+#[test]
+fn only_the_retry_of_a_keyed_request_that_may_have_been_executed_has_a_deadline() {
+    let by = |actions: &[Action]| {
+        actions.iter().find_map(|a| if let Action::Send { begin_by: by, .. } = a { Some(*by) } else { None })
+    };
+    for (class, tied) in [(IDEMPOTENT, false), (KEYED_BY_CELL, true), (KEYED_BY_ALL, true)] {
+        let mut node = TestNode::new(settings(), endpoints(1..41));
+        let (id, first) = node.arrive(class, Some(0));
+        assert_eq!(by(&first), Some(None));
+        node.now += 20 * MS;
+        // What was not executed anywhere may begin at any time, and the window counts from then.
+        assert_eq!(by(&node.end_attempt(id, 0, Outcome::ConnectFailed, 20 * MS)), Some(None));
+        let sent = node.now;
+        node.now += 30 * MS;
+        let until = tied.then_some(sent + 380 * MS);
+        assert_eq!(by(&node.end_attempt(id, 1, Outcome::Reset, 30 * MS)), Some(until));
+        node.now += 30 * MS;
+        assert_eq!(by(&node.end_attempt(id, 2, Outcome::Rejected, 30 * MS)), Some(until));
+    }
+}
+
+/// It can't be sent any more, and its client gets the answer at once: not when its time is up.
+#[test]
+fn a_queued_retry_fails_when_its_idempotency_window_ends() {
+    let mut s = settings();
+    s.classes[IDEMPOTENT].priority_weight = 5.0;
+    let mut node = TestNode::new(s, endpoints(1..2));
+    let (id, first) = node.arrive(KEYED_BY_CELL, None);
+    assert_eq!(sends(&first, id), [1]);
+    let (other, queued) = node.arrive(IDEMPOTENT, None);
+    assert_eq!(sends(&queued, other), []);
+    node.now += 20 * MS;
+    // The one of the higher weight is sent.
+    let actions = node.end_attempt(id, 0, Outcome::Reset, 20 * MS);
+    assert_eq!((sends(&actions, other), sends(&actions, id)), (vec![1], vec![]));
+    let mut after = 20 * MS;
+    while !failed(&node.fire_timer(id, 5 * MS), id) {
+        after += 5 * MS;
+        assert!(after < 385 * MS, "queued though its endpoints will have forgotten it");
+    }
+    assert!(after >= 370 * MS, "failed while it might have been sent: {after:?}");
+}
--- /dev/null
+++ b/tests/balancer/selection.rs
@@ -0,0 +1,74 @@
+//! Selection among the endpoints of a pool.
+
+use std::collections::BTreeSet;
+
+use mothspool::*;
+
+use crate::support::*;
+
+#[test]
+fn a_key_keeps_to_two_endpoints_only_with_key_affinity() {
+    for (key_affinity, few) in [(true, true), (false, false)] {
+        let mut node = TestNode::new(Settings { key_affinity, ..settings() }, endpoints(1..11));
+        let mut seen = BTreeSet::new();
+        for id in 1..=200 {
+            let request = Request {
+                id,
+                class: IDEMPOTENT,
+                remaining: S,
+                expected_work: None,
+                affinity_key: Some(9),
+                tenant: Some(0),
+            };
+            seen.extend(sends(&node.handle(Event::RequestArrived(request)), id));
+            node.now += 10 * MS;
+            node.end_attempt(id, 0, Outcome::Served, 10 * MS);
+        }
+        assert_eq!(seen.len() <= 2, few, "key affinity {key_affinity}: {seen:?}");
+    }
+}
+
+/// A nearby endpoint that is filled before others are used is slower by more than the way to those takes.
+#[test]
+fn no_zone_is_filled_before_the_others() {
+    let list: Vec<_> =
+        endpoints(1..11).into_iter().map(|s| EndpointInfo { zone: (s.id % 2) as u8, ..s }).collect();
+    // As the operators state it: crossing zones has its price, but a small one.
+    let stated = simulator::codec::parse_settings(b"zone=0\nprices.cross_zone=0.01\n").unwrap();
+    let Settings { classes, tenants, .. } = settings();
+    let mut node = TestNode::new(Settings { classes, tenants, ..stated }, list);
+    let mut out = std::collections::VecDeque::new();
+    let mut near = 0;
+    for _ in 0..200 {
+        let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
+        near += usize::from(sends(&actions, id)[0].is_multiple_of(2));
+        out.push_back(id);
+        if out.len() > 3 {
+            node.now += 10 * MS;
+            node.end_attempt(out.pop_front().unwrap(), 0, Outcome::Served, 10 * MS);
+        }
+    }
+    assert!((50..150).contains(&near), "{near} of 200 went to one of two zones");
+}
+
+#[test]
+fn endpoints_without_weight_are_used_alike() {
+    let list: Vec<_> = endpoints(1..9).into_iter().map(|s| EndpointInfo { weight: 0.0, ..s }).collect();
+    let mut node = TestNode::new(Settings { node_count: 1, ..settings() }, list);
+    let arrivals = (0..100).map(|n| node.arrive(IDEMPOTENT, Some(n % 4)));
+    let used: BTreeSet<_> = arrivals.flat_map(|(id, actions)| sends(&actions, id)).collect();
+    assert_eq!(used.len(), 8);
+}
+
+/// A load-dependent weight is a second old and the same at all nodes: by it, they crowded what had been idle.
+#[test]
+fn a_load_dependent_weight_does_not_change_an_endpoint_size() {
+    let settings = Settings { load_dependent_weights: true, ..many_nodes(200, 5) };
+    let mut node = TestNode::new(settings, endpoints(1..41));
+    let before = attempts_by_endpoint(&mut node, 50);
+    let busy: Vec<_> =
+        endpoints(1..41).into_iter().map(|s| EndpointInfo { weight: 1.0 / s.id as f64, ..s }).collect();
+    node.handle(Event::EndpointDelta(busy));
+    let after = attempts_by_endpoint(&mut node, 50);
+    assert_eq!(before.keys().collect::<Vec<_>>(), after.keys().collect::<Vec<_>>());
+}
