--- a/src/node/downstream/mod.rs
+++ b/src/node/downstream/mod.rs
@@ -517,7 +517,11 @@
         };
         let (id, outgoing) = (taken.request.id, taken.outgoing);
         let mut waiting = Waiting { id, outgoing: &outgoing, engine: &self.engine, answered: false };
-        self.engine.send(EngineEvent::RequestArrived(taken.request, outgoing.clone(), sender));
+        self.engine.send(EngineEvent::RequestArrived {
+            request: taken.request,
+            upstream_request: outgoing.clone(),
+            answer: sender,
+        });
         let answer = tokio::select! {
             biased;
             answer = answer => answer,
@@ -530,7 +534,7 @@
         waiting.answered = true;
         Ok(match answer {
             Ok(FinalAnswer::Served(response)) => response,
-            Ok(FinalAnswer::Rejected(stay_away)) => refused(stay_away),
+            Ok(FinalAnswer::Rejected { retry_after }) => refused(retry_after),
             Ok(FinalAnswer::Failed { timed_out: true }) => {
                 plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
             }
--- /dev/null
+++ b/src/node/engine/actions.rs
@@ -0,0 +1,86 @@
+//! Carrying out the balancer's actions.
+
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+
+use mothspool::{Action, EndpointId, Micros, Outcome, RequestId};
+use tokio::task::spawn_local;
+
+use super::Engine;
+use super::event::{AttemptId, EngineEvent, FinalAnswer};
+use super::requests::{ActiveRequest, Attempt};
+use super::timers::TimerToken;
+use crate::upstream::AttemptOutcome;
+
+impl Engine {
+    pub(super) fn perform(&mut self, action: Action) {
+        match action {
+            Action::Send { request, endpoint, begin_by } => self.start_attempt(request, endpoint, begin_by),
+            Action::Reject { request, retry_after } => self.reject(request, retry_after),
+            Action::Fail(request) => self.fail(request),
+            Action::Cancel(request, number) => self.cancel_attempt(AttemptId { request, number }),
+            Action::SetTimer { after, token } => self.set_timer(Duration::from_micros(after), token),
+            Action::Subscribe => self.subscribe.notify_one(),
+        }
+    }
+
+    /// Starts an attempt in a task of its own. Nothing is sent for a request that is answered already, but the
+    /// balancer still has to be notified of the attempt's end.
+    fn start_attempt(&mut self, id: RequestId, endpoint: EndpointId, begin_by: Option<Micros>) {
+        let sent_at = self.clock.now();
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let upstream_request = request.upstream_request.clone();
+        upstream_request.begin_by.set(begin_by.map(|time| self.clock.instant(time)));
+        let attempt = AttemptId { request: id, number: request.next_attempt_number() };
+        let may_send = !request.is_answered();
+        let written = Rc::new(Cell::new(false));
+        let (upstream, handle) = (self.upstream.clone(), self.handle.clone());
+        let attempt_written = written.clone();
+        let task = spawn_local(async move {
+            let outcome = match may_send {
+                true => upstream.attempt(&upstream_request, endpoint, &attempt_written).await,
+                false => AttemptOutcome::Failed(Outcome::NotSent),
+            };
+            handle.send(event_of(attempt, outcome));
+        });
+        request.add_attempt(Attempt::new(sent_at, written, task.abort_handle()));
+    }
+
+    fn reject(&mut self, id: RequestId, retry_after: Micros) {
+        let retry_after = (retry_after > 0).then(|| Duration::from_micros(retry_after));
+        self.answer(id, FinalAnswer::Rejected { retry_after });
+    }
+
+    fn fail(&mut self, id: RequestId) {
+        let timed_out = |request: &ActiveRequest| request.has_timed_out || request.has_running_attempt();
+        let timed_out = self.requests.get(&id).is_some_and(timed_out);
+        self.answer(id, FinalAnswer::Failed { timed_out });
+    }
+
+    /// Cancels an attempt, unless its response is already being passed on: then it is the client's.
+    fn cancel_attempt(&mut self, id: AttemptId) {
+        let request = self.requests.get(&id.request);
+        let attempt = request.and_then(|request| request.attempt(id.number));
+        if attempt.is_none_or(|attempt| attempt.response_started_at.is_none()) {
+            self.end_attempt(id, Outcome::Cancelled);
+        }
+    }
+
+    fn set_timer(&mut self, delay: Duration, token: TimerToken) {
+        match self.requests.get_mut(&token) {
+            Some(request) => {
+                self.timers.set_for_request(&mut request.timer, delay, token, self.clock.now());
+            }
+            None => self.timers.set(delay, token),
+        }
+    }
+}
+
+fn event_of(attempt: AttemptId, outcome: AttemptOutcome) -> EngineEvent {
+    match outcome {
+        AttemptOutcome::Failed(outcome) => EngineEvent::AttemptEnded { attempt, outcome },
+        AttemptOutcome::Served(response) => EngineEvent::AttemptServed { attempt, response },
+        AttemptOutcome::Streaming(response) => EngineEvent::ResponseStarted { attempt, response },
+    }
+}
--- /dev/null
+++ b/src/node/engine/attempts.rs
@@ -0,0 +1,88 @@
+//! The ends of attempts and requests.
+
+use hyper::Response;
+use mothspool::{AttemptResult, Event, Outcome, RequestId};
+
+use super::Engine;
+use super::event::{AttemptId, EngineEvent, FinalAnswer};
+use super::requests::ActiveRequest;
+use crate::body::ResponseBody;
+use crate::upstream::StreamingResponse;
+
+impl Engine {
+    /// Passes on a response that has begun. If the request is answered already, this one is of no use: the attempt
+    /// ends, and its connection with it.
+    pub(super) fn start_response(&mut self, id: AttemptId, response: Response<StreamingResponse>) {
+        let now = self.clock.now();
+        let handle = self.handle.clone();
+        let on_end = move |outcome| handle.send(EngineEvent::AttemptEnded { attempt: id, outcome });
+        let Some(request) = self.requests.get_mut(&id.request) else { return };
+        let is_answered = request.is_answered();
+        let Some(attempt) = request.attempt_mut(id.number) else { return };
+        if is_answered || !attempt.is_running() {
+            return on_end(Outcome::Cancelled);
+        }
+        attempt.response_started_at = Some(now);
+        self.pending.push_back(Event::ResponseStarted(id.request, id.number));
+        let response = response.map(|body| body.reply(on_end));
+        self.answer(id.request, FinalAnswer::Served(response));
+    }
+
+    /// Answers a request with the complete response of an attempt.
+    pub(super) fn serve(&mut self, id: AttemptId, response: Response<ResponseBody>) {
+        self.answer(id.request, FinalAnswer::Served(response));
+        self.end_attempt(id, Outcome::Served);
+    }
+
+    /// Notifies the balancer of an attempt's end, once: what the task of a cancelled one still reports is ignored.
+    pub(super) fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) {
+        let now = self.clock.now();
+        let Some(request) = self.requests.get_mut(&id.request) else { return };
+        let received = request.upstream_request.came();
+        let received_at = received.map_or(now, |instant| self.clock.timestamp(instant));
+        let request_finished = request.is_answered();
+        let Some(attempt) = request.attempt_mut(id.number) else { return };
+        if !attempt.end() {
+            return;
+        }
+        // The endpoint's time: from the client's last byte, if that came after the sending, to the response's first.
+        let began_at = attempt.sent_at.max(received_at);
+        let elapsed = attempt.response_started_at.unwrap_or(now).saturating_sub(began_at);
+        request.has_timed_out |= outcome == Outcome::TimedOut;
+        self.pending.push_back(Event::AttemptEnded(AttemptResult {
+            request: id.request,
+            attempt: id.number,
+            outcome,
+            elapsed,
+            request_finished,
+        }));
+    }
+
+    /// Ends the attempts that have not been written, or not completely, of a request that needs no answer any more.
+    /// To cancel an attempt that an endpoint has may not be allowed; this is merely not sending it.
+    pub(super) fn end_unwritten_attempts(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id).filter(|request| request.is_answered()) else { return };
+        for attempt in request.unwritten_attempts(id) {
+            self.end_attempt(attempt, Outcome::NotSent);
+        }
+    }
+
+    /// Gives a request its final answer, unless it has one.
+    pub(super) fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
+        if let Some(client) = self.requests.get_mut(&id).and_then(ActiveRequest::take_answer) {
+            // A client that is disconnecting right now receives no answer. Its `ClientDisconnected` then finds the
+            // request answered.
+            let _ = client.send(answer);
+        }
+        self.remove_if_finished(id);
+    }
+
+    /// Forgets a request that is answered and has no attempt running.
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(ActiveRequest::is_finished)
+            && let Some(timer) = self.requests.remove(&id).and_then(|request| request.timer)
+        {
+            self.timers.cancel(&timer);
+        }
+    }
+}
--- /dev/null
+++ b/src/node/engine/handle.rs
@@ -0,0 +1,86 @@
+//! The other parts' way to the engine.
+
+use std::cell::Cell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use mothspool::{EndpointId, EndpointInfo, Event, Micros, RequestId};
+use tokio::sync::mpsc;
+
+use super::event::EngineEvent;
+use crate::upstream::UpstreamPool;
+
+/// The highest bits of request ids, which stay 0: the balancer's own timer tokens have them set.
+const RESERVED_ID_BITS: u32 = 2;
+
+/// Sends events to the engine. What must take effect at once for running attempts is applied to the connection pool
+/// before the balancer is notified of it.
+#[derive(Clone)]
+pub struct EngineHandle {
+    events: mpsc::UnboundedSender<EngineEvent>,
+    next_request_id: Rc<Cell<RequestId>>,
+    upstream: Rc<UpstreamPool>,
+}
+
+impl EngineHandle {
+    /// A handle, and the events for the engine to receive. The channel needs no bound: it holds only the few events
+    /// that each open connection causes.
+    pub fn new(
+        seed: u64,
+        upstream: Rc<UpstreamPool>,
+    ) -> (EngineHandle, mpsc::UnboundedReceiver<EngineEvent>) {
+        let (events, receiver) = mpsc::unbounded_channel();
+        // The balancer hashes request ids with endpoints: nodes must not all count from the same number.
+        let next_request_id = Rc::new(Cell::new(seed >> RESERVED_ID_BITS));
+        (EngineHandle { events, next_request_id, upstream }, receiver)
+    }
+
+    /// Notifies the engine. When the process ends there may be none any more; the event is dropped then.
+    pub fn send(&self, event: EngineEvent) {
+        let _ = self.events.send(event);
+    }
+
+    /// A new request id, unique in this process; a client may use the same `Req-Id` twice.
+    pub fn next_request_id(&self) -> RequestId {
+        self.next_request_id.replace(self.next_request_id.get() + 1)
+    }
+
+    /// Applies an endpoint list.
+    pub fn update_endpoints(&self, kind: ListKind, list: Vec<(EndpointInfo, SocketAddr)>) {
+        self.upstream.update_endpoints(list.iter().copied(), kind != ListKind::Delta);
+        let list = list.into_iter().map(|(endpoint, _)| endpoint).collect();
+        self.send(EngineEvent::Balancer(match kind {
+            ListKind::Cached => Event::CachedSnapshot(list),
+            ListKind::Snapshot => Event::EndpointSnapshot(list),
+            ListKind::Delta => Event::EndpointDelta(list),
+        }));
+    }
+
+    /// Whether an endpoint list has ever named this endpoint.
+    pub fn is_known(&self, endpoint: EndpointId) -> bool {
+        self.upstream.is_known(endpoint)
+    }
+
+    /// From now on nothing new is sent to this endpoint, whatever endpoint lists say.
+    pub fn enter_maintenance(&self, endpoint: EndpointId) {
+        self.upstream.enter_maintenance(endpoint);
+        self.send(EngineEvent::Balancer(Event::EnterMaintenance(endpoint)));
+    }
+
+    /// This endpoint takes requests again, as one that started at `started_at` (Unix time in microseconds).
+    pub fn exit_maintenance(&self, endpoint: EndpointId, started_at: Micros) {
+        self.upstream.exit_maintenance(endpoint);
+        self.send(EngineEvent::Balancer(Event::ExitMaintenance(endpoint, started_at)));
+    }
+}
+
+/// What an endpoint list contains.
+#[derive(Clone, Copy, PartialEq)]
+pub enum ListKind {
+    /// All endpoints as they were known before the start; it may be out of date.
+    Cached,
+    /// All endpoints; one that is missing is gone.
+    Snapshot,
+    /// The endpoints that have changed.
+    Delta,
+}
