--- a/src/node/admin/mod.rs
+++ b/src/node/admin/mod.rs
@@ -24,7 +24,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::admin::state_store::{AdminState, StateStore};
-use crate::config::MAX_CALLS;
+use crate::config::MAX_ADMIN_CALLS;
 use crate::downstream::DownstreamServer;
 use crate::engine::EngineHandle;
 use crate::lifecycle::Lifecycle;
@@ -272,7 +272,7 @@
             }
         };
         callers.retain(|caller| !caller.task.is_finished());
-        if callers.len() >= MAX_CALLS {
+        if callers.len() >= MAX_ADMIN_CALLS {
             // Who has called is owed an answer; of the others the one that has kept silent for longest goes.
             let at = callers.iter().position(|caller| !caller.heard.get()).unwrap_or(0);
             callers.remove(at);
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -1,233 +1,136 @@
-//! What the node is told at its start: the file that `GW_CONFIG` names, and the settings within it.
+//! The configuration: the file that `GW_CONFIG` names, and the settings in it.
+
+mod error;
+mod file;
+mod limits;
+mod settings_object;
 
 use std::collections::HashMap;
-use std::error::Error;
 use std::net::SocketAddr;
-use std::ops::RangeInclusive;
-use std::time::Duration;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use mothspool::simulator::codec::parse_settings;
-use mothspool::{Idempotency, Settings};
-use serde::Deserialize;
-use serde_json::Value;
+use mothspool::{Idempotency, RequestClass, Settings};
 
+pub use self::error::ConfigError;
+use self::error::FileError;
+use self::file::{ConfigFile, parse_address};
+pub use self::limits::{MAX_ADMIN_CALLS, ResourceLimits, max_buffered_bytes};
+use self::settings_object::SettingsObject;
 use crate::protocol::endpoint_list::EndpointList;
 
-/// Descriptors for all but connections of clients and to servers: standard streams, epoll, wake-ups, signals,
-/// the listeners, discovery, the shared state's files, and operators.
-const SPARE_SOCKETS: usize = 16 + MAX_CALLS;
-
-/// The most calls of the admin API at once; descriptors are set aside for them.
-pub const MAX_CALLS: usize = 12;
-/// The part of the node's memory that may go into bodies that are buffered whole.
-const BUFFERED_BODIES_PART: usize = 8;
-
-/// How many of `memory` bytes may go into bodies that are buffered whole.
-pub fn max_buffered_bytes(memory: usize) -> usize {
-    memory / BUFFERED_BODIES_PART
-}
-
-/// No deadline is longer, whatever the settings or a client say.
+/// No deadline of a request is longer, whatever the settings or a client say.
 pub const MAX_DEADLINE: Duration = Duration::from_secs(3600);
-
-/// What connections may buffer: the least that hyper takes, the most that is of use, and between them so much that
-/// this part of the memory would do if each descriptor were a connection. A body that passes through is in three
-/// buffers, but has two connections.
-const BUFFER: RangeInclusive<usize> = 8 << 10..=32 << 10;
-const BUFFERS_PART: usize = 4;
-/// What a connection takes beside them: hyper's space for heads and for requests on their way to it, the tasks that
-/// serve it. Measured with 923 connections of uploads, 30 KB each where they buffer 8 KiB.
-const CONNECTION: usize = 20 << 10;
-/// What the program takes for itself, lists of some hundred servers included.
-const PROGRAM: usize = 5 << 20;
-
-/// The configuration file.
-#[derive(Deserialize)]
-struct File {
-    name: String,
-    listen: SocketAddr,
-    discovery: SocketAddr,
-    operator: Option<SocketAddr>,
-    #[serde(default)]
-    seed: String,
-    #[serde(default)]
-    limits: Limits,
-    #[serde(default)]
-    known: EndpointList,
-    settings: Value,
-}
-
-#[derive(Default, Deserialize)]
-#[serde(default)]
-struct Limits {
-    sockets: Option<usize>,
-    memory_mb: Option<usize>,
-}
-
-/// What a class of requests looks like on the wire.
+/// How long a connection to an endpoint may take to come up, where the settings do not say.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// After what idle time endpoints close a connection, where the settings do not say.
+const DEFAULT_KEEPALIVE: Duration = Duration::from_secs(5);
+/// The variable with the address of the admin API, where the file has none.
+const ADMIN_VARIABLE: &str = "GW_OPERATOR";
+
+/// A class of requests, as its requests are recognised and limited.
 #[derive(Clone, Copy)]
 pub struct ClassRule {
-    /// Its index in the settings.
+    /// Its index in [`Settings::classes`].
     pub index: usize,
-    /// Whether it may be repeated.
+    /// Whether its requests may be retried.
     pub idempotency: Idempotency,
-    /// The longest that a client waits for one.
-    pub deadline_us: u64,
+    /// The longest that a client waits for a response; at most [`MAX_DEADLINE`].
+    pub deadline: Duration,
+}
+
+impl ClassRule {
+    fn new(index: usize, class: &RequestClass) -> ClassRule {
+        let deadline = Duration::from_micros(class.deadline).min(MAX_DEADLINE);
+        ClassRule { index, idempotency: class.idempotency, deadline }
+    }
 }
 
-/// Everything the node goes by.
+/// The node's configuration.
 pub struct Config {
-    /// The node's name, for its log.
+    /// The node's name, for its log and its state store.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Where discovery is.
     pub discovery: SocketAddr,
-    /// Where operators call, if they do.
-    pub operator: Option<SocketAddr>,
-    /// For random numbers; new with each start.
+    /// Where the admin API listens, if the node has one.
+    pub admin: Option<SocketAddr>,
+    /// The seed of random numbers; a new one with each start, unless the file has one.
     pub seed: u64,
-    /// How many connections, of clients and to servers together, it may hold.
-    pub sockets: usize,
-    /// The same while two processes of the node run: each needs others besides.
-    pub shared_sockets: usize,
-    /// How many bytes of memory it may hold.
-    pub memory: usize,
-    /// How many bytes a connection may buffer in each direction; it bounds heads too.
-    pub buffer: usize,
-    /// The list of servers as it was last held.
-    pub known: EndpointList,
-    /// What the decision module is told.
+    /// How descriptors and memory are divided.
+    pub limits: ResourceLimits,
+    /// The endpoint list as it was last known; it may be out of date.
+    pub cached_list: EndpointList,
+    /// The settings of the balancer.
     pub settings: Settings,
-    /// The classes by name.
+    /// The request classes by name.
     pub classes: HashMap<String, ClassRule>,
-    /// The tenants' indices by name.
+    /// The tenants' indices in [`Settings::tenants`] by name.
     pub tenants: HashMap<String, u32>,
-    /// The names of zones and kinds of machine, in the settings' order.
+    /// The names of zones, in the settings' order.
     pub zones: Vec<String>,
-    pub kinds: Vec<String>,
-    /// A connection to a server that is not up after this has failed.
-    pub connect_timeout_us: u64,
-    /// Servers close a connection that has been idle for this long.
-    pub keepalive_us: u64,
+    /// The names of machine types, in the settings' order.
+    pub machine_types: Vec<String>,
+    /// A connection to an endpoint that is not up after this has failed.
+    pub connect_timeout: Duration,
+    /// Endpoints close a connection that has been idle for this long.
+    pub keepalive: Duration,
 }
 
 impl Config {
     /// Reads the file at `path`.
-    pub fn read(path: &str) -> Result<Config, Box<dyn Error>> {
-        let file: File = serde_json::from_slice(&std::fs::read(path)?)?;
-        let mut lines = String::new();
-        flatten(&file.settings, "", &mut lines);
-        let settings = parse_settings(lines.as_bytes())?;
+    pub fn read(path: &str) -> Result<Config, ConfigError> {
+        let in_file = |source| ConfigError::File { path: path.into(), source };
+        let mut config = Config::read_file(path).map_err(in_file)?;
+        if config.admin.is_none() {
+            config.admin = admin_from_environment()?;
+        }
+        Ok(config)
+    }
+
+    fn read_file(path: &str) -> Result<Config, FileError> {
+        let file = ConfigFile::read(path)?;
+        let addresses = file.addresses()?;
+        let object = SettingsObject(&file.settings);
+        let settings = parse_settings(object.to_lines().as_bytes())?;
         settings.check()?;
-        let s = &file.settings;
-        let sockets = file.limits.sockets.unwrap_or(1024);
-        let operator = match (file.operator, std::env::var("GW_OPERATOR")) {
-            (None, Ok(address)) => Some(address.parse().map_err(|error| format!("GW_OPERATOR: {error}"))?),
-            (told, _) => told,
-        };
-        let rules = names(s, "services").into_iter().zip(&settings.classes).enumerate();
-        let classes = rules
-            .map(|(index, (name, class))| {
-                (
-                    name,
-                    ClassRule {
-                        index,
-                        idempotency: class.idempotency,
-                        deadline_us: class.deadline.min(MAX_DEADLINE.as_micros() as u64),
-                    },
-                )
-            })
-            .collect();
-        let memory = file.limits.memory_mb.unwrap_or(32).max(1) << 20;
-        let buffer = (memory / BUFFERS_PART / sockets.max(1)).clamp(*BUFFER.start(), *BUFFER.end());
-        // For so many connections each of so many processes has descriptors and memory.
-        let connections = |processes: usize| {
-            let spare = (memory / processes).saturating_sub(max_buffered_bytes(memory) + PROGRAM);
-            let carried = spare / (CONNECTION + buffer * 3 / 2);
-            (sockets / processes).saturating_sub(SPARE_SOCKETS).min(carried).max(8)
-        };
-        let allowed = |key: &str, absent: u64| s["allowed"][key].as_f64().map_or(absent, |us| us as u64);
+        let rules = settings.classes.iter().enumerate().map(|(index, class)| ClassRule::new(index, class));
+        let timeout = |key, default| object.allowed_duration(key).unwrap_or(default);
         Ok(Config {
-            seed: u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| seed_from(&file.name)),
-            sockets: connections(1),
-            shared_sockets: connections(2),
-            memory,
-            buffer,
-            classes,
-            tenants: (0..).zip(names(s, "parties")).map(|(index, name)| (name, index)).collect(),
-            zones: strings(&s["zones"]),
-            kinds: strings(&s["skus"]),
-            connect_timeout_us: allowed("connect_timeout_us", 250_000),
-            keepalive_us: allowed("keepalive_us", 5_000_000),
+            listen: addresses.listen,
+            discovery: addresses.discovery,
+            admin: addresses.operator,
+            seed: seed(&file.seed, &file.name),
+            limits: ResourceLimits::new(file.limits.sockets, file.limits.memory_mb),
+            classes: object.names("services").into_iter().zip(rules).collect(),
+            tenants: object.names("parties").into_iter().zip(0..).collect(),
+            zones: object.strings("zones"),
+            machine_types: object.strings("skus"),
+            connect_timeout: timeout("connect_timeout_us", DEFAULT_CONNECT_TIMEOUT),
+            keepalive: timeout("keepalive_us", DEFAULT_KEEPALIVE),
             name: file.name,
-            listen: file.listen,
-            discovery: file.discovery,
-            operator,
-            known: file.known,
+            cached_list: file.known,
             settings,
         })
     }
-}
 
-impl Config {
     /// The longest that any client waits.
-    pub fn longest(&self) -> Duration {
-        Duration::from_micros(self.classes.values().map(|class| class.deadline_us).max().unwrap_or_default())
-    }
-}
-
-/// Without a seed, starts and nodes still differ.
-fn seed_from(name: &str) -> u64 {
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    xxhash_rust::xxh3::xxh3_64_with_seed(name.as_bytes(), now.as_micros() as u64)
-}
-
-/// The names of the objects in a list.
-fn names(settings: &Value, list: &str) -> Vec<String> {
-    let items = settings[list].as_array().map_or(&[][..], Vec::as_slice);
-    items.iter().map(|item| item["name"].as_str().unwrap_or_default().to_string()).collect()
-}
-
-/// A list of strings; one string stands for a list of one.
-fn strings(value: &Value) -> Vec<String> {
-    match value {
-        Value::Array(items) => items.iter().map(scalar).collect(),
-        Value::Null => Vec::new(),
-        one => vec![scalar(one)],
-    }
-}
-
-fn scalar(value: &Value) -> String {
-    match value {
-        Value::String(text) => text.clone(),
-        Value::Null => String::new(),
-        other => other.to_string(),
-    }
-}
-
-/// Writes nested settings as the `path=value` lines that the simulator's wire has.
-fn flatten(value: &Value, path: &str, lines: &mut String) {
-    let below = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
-    match value {
-        Value::Object(fields) => fields.iter().for_each(|(key, v)| flatten(v, &below(key), lines)),
-        Value::Array(items) if items.iter().any(Value::is_object) => {
-            lines.push_str(&format!("{}={}\n", below("count"), items.len()));
-            items.iter().enumerate().for_each(|(i, v)| flatten(v, &below(&i.to_string()), lines));
-        }
-        Value::Null => {}
-        Value::Array(_) => {
-            put(path, &strings(value).iter().map(|s| plain(s)).collect::<Vec<_>>().join(","), lines);
-        }
-        _ => put(path, &plain(&scalar(value)), lines),
+    pub fn longest_deadline(&self) -> Duration {
+        self.classes.values().map(|class| class.deadline).max().unwrap_or_default()
     }
 }
 
-fn put(path: &str, value: &str, lines: &mut String) {
-    lines.push_str(&format!("{path}={value}\n"));
+fn admin_from_environment() -> Result<Option<SocketAddr>, ConfigError> {
+    let Ok(value) = std::env::var(ADMIN_VARIABLE) else { return Ok(None) };
+    let in_environment = |source| ConfigError::Environment { variable: ADMIN_VARIABLE, source };
+    parse_address(&value).map(Some).map_err(in_environment)
 }
 
-/// A value without the characters that lines and lists are split at.
-fn plain(text: &str) -> String {
-    text.replace([' ', ',', '\n', '\r'], "_")
+/// The seed that the file has in hexadecimal. Without one, nodes and their starts still differ.
+fn seed(text: &str, name: &str) -> u64 {
+    u64::from_str_radix(text, 16).unwrap_or_else(|_| {
+        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        xxhash_rust::xxh3::xxh3_64_with_seed(name.as_bytes(), now.as_micros() as u64)
+    })
 }
--- /dev/null
+++ b/src/node/config/settings_object.rs
@@ -0,0 +1,85 @@
+//! The nested settings of the configuration file.
+
+use std::time::Duration;
+
+use serde_json::Value;
+
+/// The object `settings` of the configuration file.
+pub(super) struct SettingsObject<'a>(pub(super) &'a Value);
+
+impl SettingsObject<'_> {
+    /// The same settings in the text form of the simulator: a line `path=value` for each.
+    pub(super) fn to_lines(&self) -> String {
+        let mut lines = String::new();
+        flatten(self.0, "", &mut lines);
+        lines
+    }
+
+    /// The names of the objects in a list, in order.
+    pub(super) fn names(&self, list: &str) -> Vec<String> {
+        let items = self.0[list].as_array().map_or(&[][..], Vec::as_slice);
+        items.iter().map(|item| item["name"].as_str().unwrap_or_default().to_string()).collect()
+    }
+
+    /// A list of strings.
+    pub(super) fn strings(&self, key: &str) -> Vec<String> {
+        strings(&self.0[key])
+    }
+
+    /// A duration in `allowed`, where it is in microseconds.
+    pub(super) fn allowed_duration(&self, key: &str) -> Option<Duration> {
+        let micros = self.0["allowed"][key].as_f64()?;
+        Some(Duration::from_micros(micros as u64))
+    }
+}
+
+/// A list of strings; a single one stands for a list of one.
+fn strings(value: &Value) -> Vec<String> {
+    match value {
+        Value::Array(items) => items.iter().map(scalar).collect(),
+        Value::Null => Vec::new(),
+        single => vec![scalar(single)],
+    }
+}
+
+fn scalar(value: &Value) -> String {
+    match value {
+        Value::String(text) => text.clone(),
+        Value::Null => String::new(),
+        other => other.to_string(),
+    }
+}
+
+/// Appends a line for each setting in `value`. Objects in a list have their index in the path, and a line
+/// `path.count`; other lists have their items on one line.
+fn flatten(value: &Value, path: &str, lines: &mut String) {
+    let child = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
+    match value {
+        Value::Object(fields) => {
+            for (key, field) in fields {
+                flatten(field, &child(key), lines);
+            }
+        }
+        Value::Array(items) if items.iter().any(Value::is_object) => {
+            push_line(&child("count"), &items.len().to_string(), lines);
+            for (index, item) in items.iter().enumerate() {
+                flatten(item, &child(&index.to_string()), lines);
+            }
+        }
+        Value::Null => {}
+        Value::Array(_) => {
+            let items: Vec<String> = strings(value).iter().map(|item| without_separators(item)).collect();
+            push_line(path, &items.join(","), lines);
+        }
+        single => push_line(path, &without_separators(&scalar(single)), lines),
+    }
+}
+
+fn push_line(path: &str, value: &str, lines: &mut String) {
+    lines.push_str(&format!("{path}={value}\n"));
+}
+
+/// A value without the characters that separate lines and items.
+fn without_separators(value: &str) -> String {
+    value.replace([' ', ',', '\n', '\r'], "_")
+}
--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -18,6 +18,7 @@
 use self::watch::{Watch, WatchError};
 use crate::config::Config;
 use crate::engine::{EngineHandle, ListKind};
+use crate::log::ErrorChain;
 use crate::protocol::endpoint_list::EndpointList;
 
 /// Starts from the endpoint list in the configuration and follows discovery from there on, for ever. When `address`
@@ -30,7 +31,7 @@
     subscribe: Rc<Notify>,
 ) {
     let mut follower = Follower::new(&config, engine);
-    follower.publish(&config.known, ListKind::Cached);
+    follower.publish(&config.cached_list, ListKind::Cached);
     if config.settings.discovery != DiscoveryMode::Push {
         subscribe.notified().await;
     }
@@ -73,7 +74,7 @@
         Follower {
             engine,
             converter: RecordConverter::new(config),
-            revision: config.known.revision,
+            revision: config.cached_list.revision,
             backoff: Backoff::new(config.seed),
         }
     }
@@ -108,7 +109,7 @@
     /// Counts a failure, and logs the first one of a row: a line for each try of a long outage would say nothing new.
     fn record_failure(&mut self, error: &WatchError) {
         if self.backoff.record_failure() {
-            log!("discovery: {error}; the next watch starts from revision {}", self.revision);
+            log!("discovery: {}; the next watch starts from revision {}", ErrorChain(error), self.revision);
         }
     }
 }
--- a/src/node/discovery/parser.rs
+++ b/src/node/discovery/parser.rs
@@ -20,7 +20,7 @@
         bytes: usize,
     },
     /// It is no endpoint list. The message of the source names line and column within it.
-    #[error("an endpoint list is malformed: {0}")]
+    #[error("an endpoint list is malformed")]
     Malformed(#[from] serde_json::Error),
 }
 
--- a/src/node/discovery/records.rs
+++ b/src/node/discovery/records.rs
@@ -40,7 +40,10 @@
 impl RecordConverter {
     /// A converter that numbers zones and machine types as the settings do.
     pub(super) fn new(config: &Config) -> RecordConverter {
-        RecordConverter { zones: Interner::new(&config.zones), machine_types: Interner::new(&config.kinds) }
+        RecordConverter {
+            zones: Interner::new(&config.zones),
+            machine_types: Interner::new(&config.machine_types),
+        }
     }
 
     /// What a record says of its endpoint.
--- a/src/node/discovery/watch.rs
+++ b/src/node/discovery/watch.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Error)]
 pub(super) enum WatchError {
     /// No connection came up.
-    #[error("connecting to {address} failed: {source}")]
+    #[error("connecting to {address} failed")]
     Connect {
         /// Where discovery is.
         address: SocketAddr,
@@ -47,10 +47,10 @@
         address: SocketAddr,
     },
     /// The request can't be built.
-    #[error("the request for a watch is invalid: {0}")]
+    #[error("the request for a watch is invalid")]
     InvalidRequest(#[from] hyper::http::Error),
     /// The connection broke before the response began.
-    #[error("{address} sent no response: {source}")]
+    #[error("{address} sent no response")]
     Request {
         /// Where discovery is.
         address: SocketAddr,
@@ -78,7 +78,7 @@
     #[error("the watch ended")]
     Ended,
     /// The connection broke.
-    #[error("the watch broke: {0}")]
+    #[error("the watch broke")]
     Broken(#[source] hyper::Error),
     /// What came is no endpoint list.
     #[error(transparent)]
--- a/src/node/downstream/mod.rs
+++ b/src/node/downstream/mod.rs
@@ -153,7 +153,7 @@
             engine,
             servers,
             lifecycle,
-            sockets: Cell::new(config.sockets),
+            sockets: Cell::new(config.limits.max_connections),
             connections: RefCell::default(),
             busy: Cell::new(0),
             closing: Cell::new(0),
@@ -245,7 +245,11 @@
 
     /// Makes do with half of the descriptors while another process of the node runs, or no longer.
     pub fn share_descriptors(&self, shared: bool) {
-        self.sockets.set(if shared { self.config.shared_sockets } else { self.config.sockets });
+        self.sockets.set(if shared {
+            self.config.limits.max_connections_shared
+        } else {
+            self.config.limits.max_connections
+        });
         self.servers.set_max_connections(self.sockets.get() / 3);
         while self.connections.borrow().len() - self.closing.get() > self.most() && self.make_room() {}
     }
@@ -330,7 +334,7 @@
         });
         let mut builder = http1::Builder::new();
         // Its time for heads runs from the last answer on, not from a head's first byte.
-        builder.header_read_timeout(None).max_buf_size(self.config.buffer);
+        builder.header_read_timeout(None).max_buf_size(self.config.limits.connection_buffer);
         let mut serving = pin!(builder.serve_connection(TokioIo::new(socket), service));
         loop {
             tokio::select! {
@@ -436,7 +440,7 @@
         }
         // No client waits longer than its class allows; this also bounds all that is done for it. Its time runs
         // from its last byte.
-        let most = Duration::from_micros(class.deadline_us);
+        let most = class.deadline;
         let timeout = timeout.min(most).saturating_sub(TRANSIT);
         let upload = RequestBody::read(body, by, &self.room, seen).await?;
         let came = Instant::now();
@@ -671,7 +675,7 @@
         std::fs::write(&path, text).unwrap();
         let config = Rc::new(Config::read(path.to_str().unwrap()).unwrap());
         std::fs::remove_file(path).unwrap();
-        let room = BufferBudget::new(config.memory);
+        let room = BufferBudget::new(config.limits.memory);
         let servers = Rc::new(UpstreamPool::new(&config, room.clone()));
         let (mailbox, _) = EngineHandle::new(1, servers.clone());
         let lifecycle = Rc::new(Lifecycle::new(servers.clone()));
--- a/src/node/log.rs
+++ b/src/node/log.rs
@@ -1,9 +1,28 @@
-//! The node's log: standard error.
+//! The node's log: lines on standard error.
 
-/// Writes a line to the log. Whoever reads it may have gone; `eprintln!` would end the node then.
+use std::error::Error;
+use std::fmt;
+
+/// Writes a line to the log. A line that can't be written is lost: whoever reads standard error may have closed it, and
+/// `eprintln!` would panic then.
 macro_rules! log {
     ($($line:tt)*) => {{
         use std::io::Write as _;
         let _ = writeln!(std::io::stderr(), "mothspool: {}", format_args!($($line)*));
     }};
 }
+
+/// Writes an error and, behind it, the errors that caused it, separated by colons.
+pub struct ErrorChain<'a>(pub &'a dyn Error);
+
+impl fmt::Display for ErrorChain<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}", self.0)?;
+        let mut cause = self.0.source();
+        while let Some(error) = cause {
+            write!(f, ": {error}")?;
+            cause = error.source();
+        }
+        Ok(())
+    }
+}
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -37,6 +37,7 @@
 use crate::downstream::DownstreamServer;
 use crate::engine::{Engine, EngineHandle};
 use crate::lifecycle::Lifecycle;
+use crate::log::ErrorChain;
 use crate::upstream::UpstreamPool;
 
 /// For how long after SIGTERM connections are taken in: new ones come for up to 0.4 s.
@@ -54,20 +55,20 @@
     // From the first moment: unhandled, both signals end the process.
     let (hang_up, mut terminate) = (signal(SignalKind::hangup())?, signal(SignalKind::terminate())?);
     let path = std::env::var("GW_CONFIG").map_err(|_| "GW_CONFIG does not name a configuration file")?;
-    let config = Rc::new(Config::read(&path).map_err(|error| format!("{path}: {error}"))?);
+    let config = Rc::new(Config::read(&path)?);
     let handed_over = passed.is_some();
     let listener = match passed {
         Some(listener) => TcpListener::from_std(listener)?,
         None => TcpListener::bind(config.listen).await?,
     };
-    let operators = match config.operator {
+    let operators = match config.admin {
         Some(address) => {
             Some(TcpListener::bind(address).await.map_err(|error| format!("{address}: {error}"))?)
         }
         None => None,
     };
     log!("{} listens on {}", config.name, listener.local_addr()?);
-    let room = BufferBudget::new(config.memory);
+    let room = BufferBudget::new(config.limits.memory);
     let (servers, subscribe) = (Rc::new(UpstreamPool::new(&config, room.clone())), Rc::new(Notify::new()));
     let (mailbox, inbox) = EngineHandle::new(config.seed, servers.clone());
     let lifecycle = Rc::new(Lifecycle::new(servers.clone()));
@@ -106,7 +107,7 @@
     });
 
     terminate.recv().await;
-    let shutdown_deadline = Instant::now() + config.longest().min(DEADLINE_MOST) + LAST_CALL;
+    let shutdown_deadline = Instant::now() + config.longest_deadline().min(DEADLINE_MOST) + LAST_CALL;
     log!("{} is leaving", config.name);
     lifecycle.begin_shutdown(handed_over);
     if handed_over {
@@ -138,7 +139,7 @@
                 log!("{path} read anew; discovery is at {}", config.discovery);
                 moved.send_if_modified(|at| std::mem::replace(at, config.discovery) != config.discovery);
             }
-            Err(error) => log!("{path}: {error}; the configuration stays as it was"),
+            Err(error) => log!("{}; the configuration stays as it was", ErrorChain(&error)),
         }
     }
 }
@@ -154,7 +155,7 @@
     match start() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            log!("{error}");
+            log!("{}", ErrorChain(&*error));
             ExitCode::FAILURE
         }
     }
--- a/src/node/protocol/mod.rs
+++ b/src/node/protocol/mod.rs
@@ -2,3 +2,4 @@
 
 pub mod endpoint_list;
 pub mod headers;
+pub mod named_field;
--- /dev/null
+++ b/tests/node/configuration_errors.rs
@@ -0,0 +1,96 @@
+//! What the node says of a configuration that it can't use.
+
+use std::io::Read;
+use std::process::{Command, Stdio};
+
+use serde_json::{Value, json};
+
+/// A configuration that the node starts with, if its addresses are free.
+fn valid() -> Value {
+    json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f",
+        "limits": {"memory_mb": 32, "sockets": 64},
+        "known": {"rev": 41, "all": true, "targets": [{"uid": "a", "endpoint": "127.0.0.1:1", "state": "ready"}]},
+        "settings": {"services": [{"name": "view", "idempotency": "pure", "deadline_us": 1_000_000}]}})
+}
+
+/// The one line that a node logs before it exits because of this configuration, without the file's path.
+fn rejection(name: &str, config: &str, admin: Option<&str>) -> String {
+    let path = format!("{}/invalid-{}-{name}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+    std::fs::write(&path, config).unwrap();
+    let mut command = Command::new(env!("CARGO_BIN_EXE_mothspool"));
+    command.env("GW_CONFIG", &path).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+    if let Some(address) = admin {
+        command.env("GW_OPERATOR", address);
+    }
+    let mut child = command.spawn().unwrap();
+    let mut log = String::new();
+    child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
+    assert!(!child.wait().unwrap().success(), "{name}: {log}");
+    assert_eq!(log.lines().count(), 1, "{name}: {log}");
+    let line = log.trim_end().strip_prefix("mothspool: ").expect(&log);
+    line.strip_prefix(&format!("{path}: ")).unwrap_or(line).to_string()
+}
+
+/// What is logged of the valid configuration with this value at a JSON pointer.
+fn rejection_with(pointer: &str, value: Value) -> String {
+    let mut config = valid();
+    *config.pointer_mut(pointer).expect(pointer) = value;
+    rejection(&pointer.replace('/', "-"), &config.to_string(), None)
+}
+
+#[test]
+fn an_invalid_address_is_logged_with_its_field_and_value() {
+    for field in ["listen", "discovery"] {
+        let line = rejection_with(&format!("/{field}"), json!("127.0.0.1"));
+        let expected = format!("{field}: \"127.0.0.1\" is not an IP address with a port: ");
+        assert!(line.starts_with(&expected), "{line}");
+    }
+    let mut config = valid();
+    config["operator"] = json!("localhost:80");
+    let line = rejection("operator", &config.to_string(), None);
+    assert!(line.starts_with("operator: \"localhost:80\" is not an IP address with a port: "), "{line}");
+    let line = rejection("variable", &valid().to_string(), Some("nowhere"));
+    assert!(line.starts_with("GW_OPERATOR: \"nowhere\" is not an IP address with a port: "), "{line}");
+}
+
+#[test]
+fn an_invalid_address_in_the_endpoint_list_is_logged_with_its_field_value_and_position() {
+    let line = rejection_with("/known/targets/0/endpoint", json!("10.1.0.18"));
+    assert!(line.starts_with("known: targets: endpoint: \"10.1.0.18\": "), "{line}");
+    assert!(line.contains(" at line 1 column "), "{line}");
+}
+
+#[test]
+fn a_value_of_the_wrong_type_is_logged_with_its_field_and_position() {
+    let wrong = [
+        ("/name", json!(3), "name: invalid type: integer `3`, expected a string"),
+        ("/seed", json!(7), "seed: invalid type: integer `7`, expected a string"),
+        ("/limits/sockets", json!("many"), "limits: sockets: invalid type: string \"many\", expected usize"),
+        ("/limits/memory_mb", json!(-1), "limits: memory_mb: invalid value: integer `-1`, expected usize"),
+        ("/known/rev", json!("x"), "known: rev: invalid type: string \"x\", expected u64"),
+        ("/known/targets/0/state", json!("asleep"), "known: targets: state: unknown variant `asleep`"),
+    ];
+    for (pointer, value, expected) in wrong {
+        let line = rejection_with(pointer, value);
+        assert!(line.starts_with(expected), "{pointer}: {line}");
+        assert!(line.contains(" at line 1 column "), "{pointer}: {line}");
+    }
+}
+
+#[test]
+fn a_missing_field_is_logged_by_its_name() {
+    for field in ["name", "listen", "discovery", "settings"] {
+        let mut config = valid();
+        config.as_object_mut().unwrap().remove(field);
+        let line = rejection(&format!("without-{field}"), &config.to_string(), None);
+        assert!(line.starts_with(&format!("missing field `{field}` at line 1 column ")), "{line}");
+    }
+}
+
+#[test]
+fn an_invalid_setting_is_logged_with_its_path_and_value() {
+    let line = rejection_with("/settings/services/0/idempotency", json!("perhaps"));
+    assert!(line.contains("services.0.idempotency") && line.contains("perhaps"), "{line}");
+    let line = rejection_with("/settings/services/0/deadline_us", json!("soon"));
+    assert!(line.contains("services.0.deadline_us") && line.contains("soon"), "{line}");
+}
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -1,5 +1,6 @@
 //! The real node over loopback sockets, against scripted peers.
 
+mod configuration_errors;
 mod ending;
 mod leaving;
 mod lists;
