--- a/src/node/admin/listener.rs
+++ b/src/node/admin/listener.rs
@@ -18,7 +18,7 @@
 use super::commands::{CommandError, REQUEST_TIMEOUT, Route, read_body};
 use super::responses::{AdminResponse, reject};
 use super::service::AdminService;
-use crate::config::MAX_CALLS;
+use crate::config::MAX_ADMIN_CALLS;
 use crate::net::DownstreamSocket;
 
 /// How long a connection may last, until the caller has read its response.
@@ -43,7 +43,7 @@
     /// Takes in a new connection; if there are too many, another one is closed.
     fn admit(&mut self, stream: TcpStream, service: Rc<AdminService>) {
         self.0.retain(|caller| !caller.task.is_finished());
-        if self.0.len() >= MAX_CALLS {
+        if self.0.len() >= MAX_ADMIN_CALLS {
             self.evict_one();
         }
         let request_read = Rc::new(Cell::new(false));
--- a/src/node/downstream/exchange.rs
+++ b/src/node/downstream/exchange.rs
@@ -50,7 +50,11 @@
     let body = upstream_request.body.clone();
     let (sender, answer) = oneshot::channel();
     let mut disconnect = DisconnectGuard { id: request.id, upstream_request, engine, armed: true };
-    engine.send(EngineEvent::RequestArrived(request, disconnect.upstream_request.clone(), sender));
+    engine.send(EngineEvent::RequestArrived {
+        request,
+        upstream_request: disconnect.upstream_request.clone(),
+        answer: sender,
+    });
     let answer = tokio::select! {
         biased;
         answer = answer => answer,
@@ -76,7 +80,7 @@
 fn response_to(answer: FinalAnswer) -> Response<ResponseBody> {
     match answer {
         FinalAnswer::Served(response) => response,
-        FinalAnswer::Rejected(retry_after) => rejected(retry_after),
+        FinalAnswer::Rejected { retry_after } => rejected(retry_after),
         FinalAnswer::Failed { timed_out: true } => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
         FinalAnswer::Failed { timed_out: false } => no_answer(),
     }
--- a/src/node/downstream/request.rs
+++ b/src/node/downstream/request.rs
@@ -50,8 +50,7 @@
             return Err(RequestError::UnexpectedBody);
         }
         // No client waits longer than its class allows. This bounds all work that is done for it, too.
-        let max_deadline = Duration::from_micros(class.deadline_us);
-        let timeout = deadline.min(max_deadline).saturating_sub(TRANSIT_ALLOWANCE);
+        let timeout = deadline.min(class.deadline).saturating_sub(TRANSIT_ALLOWANCE);
         let tenant = single_value(&headers, &OWNER).and_then(|name| config.tenants.get(name)).copied();
         Ok(RequestHead { method, uri, headers, class, client_request_id, timeout, tenant })
     }
--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -42,7 +42,7 @@
         lifecycle: Rc<Lifecycle>,
         buffer_budget: Rc<BufferBudget>,
     ) -> DownstreamServer {
-        let limits = ConnectionLimits::new(config.sockets, upstream.max_connections());
+        let limits = ConnectionLimits::new(config.limits.max_connections, upstream.max_connections());
         let connections = Rc::new(ConnectionTable::new(limits));
         let handler = RequestHandler::new(
             config.clone(),
@@ -51,7 +51,12 @@
             connections.clone(),
             buffer_budget,
         );
-        let service = ConnectionService::new(handler, connections.clone(), lifecycle.clone(), config.buffer);
+        let service = ConnectionService::new(
+            handler,
+            connections.clone(),
+            lifecycle.clone(),
+            config.limits.connection_buffer,
+        );
         DownstreamServer { config, upstream, lifecycle, connections, service: Rc::new(service) }
     }
 
@@ -70,7 +75,8 @@
     /// Goes by half of the node's descriptors while another process of the node runs, by all of them
     /// otherwise.
     pub fn share_descriptors(&self, shared: bool) {
-        let descriptors = if shared { self.config.shared_sockets } else { self.config.sockets };
+        let limits = &self.config.limits;
+        let descriptors = if shared { limits.max_connections_shared } else { limits.max_connections };
         self.upstream.set_max_connections(max_connections_of(descriptors));
         self.connections.set_limits(ConnectionLimits::new(descriptors, self.upstream.max_connections()));
     }
--- /dev/null
+++ b/src/node/engine/clock.rs
@@ -0,0 +1,38 @@
+//! The balancer's clock.
+
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use mothspool::Timestamp;
+use tokio::time::Instant;
+
+/// Unix time as it was at the start, advanced by the monotonic clock: it compares with the start times of
+/// endpoints, which are Unix time, and yet never runs backwards.
+#[derive(Clone, Copy)]
+pub(super) struct Clock {
+    started: Instant,
+    /// Unix time at `started`.
+    started_at: Timestamp,
+}
+
+impl Clock {
+    /// A clock that starts now.
+    pub(super) fn start() -> Clock {
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { started: Instant::now(), started_at: Timestamp::default() + unix_time }
+    }
+
+    /// The time now.
+    pub(super) fn now(&self) -> Timestamp {
+        self.timestamp(Instant::now())
+    }
+
+    /// The time at an instant of the runtime's clock that is not before the start.
+    pub(super) fn timestamp(&self, instant: Instant) -> Timestamp {
+        self.started_at + instant.saturating_duration_since(self.started)
+    }
+
+    /// The instant of the runtime's clock at a time; the start, if the time is before it.
+    pub(super) fn instant(&self, time: Timestamp) -> Instant {
+        self.started + time.saturating_duration_since(self.started_at)
+    }
+}
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -6,6 +6,7 @@
 use tokio::sync::watch;
 
 use crate::config::Config;
+use crate::log::ErrorChain;
 
 /// Reads the configuration at `path` at each `hang_up` signal, for as long as the process runs. Only
 /// discovery's address changes while a node runs; it is sent to `discovery_address`. A file that is invalid
@@ -19,7 +20,7 @@
                     std::mem::replace(address, config.discovery) != config.discovery
                 });
             }
-            Err(error) => log!("{path}: {error}; the configuration stays as it was"),
+            Err(error) => log!("{}; the configuration stays as it was", ErrorChain(&error)),
         }
     }
 }
--- a/src/node/startup/error.rs
+++ b/src/node/startup/error.rs
@@ -1,6 +1,5 @@
 //! Why a node cannot start.
 
-use std::error::Error;
 use std::io;
 use std::net::SocketAddr;
 
@@ -8,6 +7,7 @@
 use thiserror::Error;
 
 use super::CONFIG_VARIABLE;
+use crate::config::ConfigError;
 use crate::net::inherited_listener::InheritedListenerError;
 
 /// Why the node cannot start.
@@ -31,13 +31,8 @@
     #[error("{CONFIG_VARIABLE} does not name a configuration file")]
     NoConfigFile,
     /// The configuration cannot be read, or is invalid.
-    #[error("{path}")]
-    Config {
-        /// The file.
-        path: String,
-        /// What is wrong.
-        source: Box<dyn Error>,
-    },
+    #[error(transparent)]
+    Config(#[from] ConfigError),
     /// The listener that was passed on cannot be registered.
     #[error("cannot use the inherited listener")]
     Adopt(#[source] io::Error),
--- a/src/node/startup/listeners.rs
+++ b/src/node/startup/listeners.rs
@@ -25,7 +25,7 @@
             Some(listener) => TcpListener::from_std(listener).map_err(StartError::Adopt)?,
             None => bind("listen", config.listen).await?,
         };
-        let admin = match config.operator {
+        let admin = match config.admin {
             Some(address) => Some(bind("operator", address).await?),
             None => None,
         };
--- a/src/node/startup/mod.rs
+++ b/src/node/startup/mod.rs
@@ -59,10 +59,7 @@
     hang_up: Signal,
 ) -> Result<GracefulShutdown<DownstreamServer>, StartError> {
     let path = std::env::var(CONFIG_VARIABLE).map_err(|_| StartError::NoConfigFile)?;
-    let config = match Config::read(&path) {
-        Ok(config) => Rc::new(config),
-        Err(source) => return Err(StartError::Config { path, source }),
-    };
+    let config = Rc::new(Config::read(&path)?);
     let shares_listener = inherited.is_some();
     let listeners = Listeners::open(&config, inherited).await?;
     log!("{} listens on {}", config.name, local_address("listen", &listeners.downstream)?);
@@ -93,7 +90,7 @@
         path: String,
         hang_up: Signal,
     ) -> Result<Node, StartError> {
-        let budget = BufferBudget::new(config.memory);
+        let budget = BufferBudget::new(config.limits.memory);
         let upstream = Rc::new(UpstreamPool::new(&config, budget.clone()));
         let subscribe = Rc::new(Notify::new());
         let (engine_handle, events) = EngineHandle::new(config.seed, upstream.clone());
@@ -154,7 +151,7 @@
             accept_task,
             stop_accepting,
             has_successor: self.shares_listener,
-            longest_deadline: self.config.longest(),
+            longest_deadline: self.config.longest_deadline(),
             node_name: self.config.name.clone(),
         }
     }
--- a/src/node/upstream/pool.rs
+++ b/src/node/upstream/pool.rs
@@ -44,11 +44,13 @@
 impl UpstreamPool {
     /// A pool without endpoints. `buffer_budget` is what response bodies are buffered in.
     pub fn new(config: &Config, buffer_budget: Rc<BufferBudget>) -> UpstreamPool {
-        let connect_timeout = Duration::from_micros(config.connect_timeout_us);
-        let max_idle = Duration::from_micros(config.keepalive_us).mul_f64(IDLE_TIMEOUT_FRACTION);
+        let max_idle = config.keepalive.mul_f64(IDLE_TIMEOUT_FRACTION);
+        let max_connections = max_connections_of(config.limits.max_connections);
+        let connector =
+            Connector::new(max_connections, config.connect_timeout, config.limits.connection_buffer);
         UpstreamPool {
             endpoints: RefCell::default(),
-            connector: Connector::new(max_connections_of(config.sockets), connect_timeout, config.buffer),
+            connector,
             idle_timeout: IdleTimeoutPolicy::new(max_idle),
             stale_connections: StaleConnectionEstimator::new(),
             buffer_budget,
--- a/tests/layout.rs
+++ b/tests/layout.rs
@@ -1,9 +1,14 @@
-//! The shape of the source tree: imports run one way.
+//! The shape of the source tree: imports run one way, and no file or line grows beyond what a reader takes in.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::{Path, PathBuf};
 
+/// The most lines of a source file.
+const MAX_FILE_LINES: usize = 450;
+/// The most characters of a line; rustfmt does not break comments.
+const MAX_LINE_WIDTH: usize = 110;
+
 /// The modules that each module names in its code.
 type Imports = BTreeMap<String, BTreeSet<String>>;
 
@@ -126,3 +131,15 @@
     assert!(imports.len() > 4, "{imports:?}");
     assert_eq!(circle(imports), Imports::new());
 }
+
+#[test]
+fn source_files_and_their_lines_are_short_enough_to_read() {
+    let sources = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
+    for file in source_files(&sources) {
+        let text = fs::read_to_string(&file).unwrap();
+        let lines = text.lines().count();
+        assert!(lines <= MAX_FILE_LINES, "{} has {lines} lines", file.display());
+        let wide = text.lines().position(|line| line.chars().count() > MAX_LINE_WIDTH);
+        assert_eq!(wide.map(|line| line + 1), None, "a wide line of {}", file.display());
+    }
+}
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -6,6 +6,7 @@
 mod admin;
 mod client_disconnects;
 mod configuration;
+mod configuration_errors;
 mod connection_limits;
 mod connection_setup;
 mod deadlines;
--- a/tests/unit/downstream.rs
+++ b/tests/unit/downstream.rs
@@ -21,7 +21,7 @@
 
 fn server() -> DownstreamServer {
     let config = config();
-    let buffer_budget = BufferBudget::new(config.memory);
+    let buffer_budget = BufferBudget::new(config.limits.memory);
     let upstream = Rc::new(UpstreamPool::new(&config, buffer_budget.clone()));
     let (engine, _) = EngineHandle::new(1, upstream.clone());
     let lifecycle = Rc::new(Lifecycle::new(upstream.clone()));
--- a/tests/unit/support.rs
+++ b/tests/unit/support.rs
@@ -56,5 +56,5 @@
 /// A connection pool without endpoints.
 pub fn upstream() -> Rc<UpstreamPool> {
     let config = config();
-    Rc::new(UpstreamPool::new(&config, BufferBudget::new(config.memory)))
+    Rc::new(UpstreamPool::new(&config, BufferBudget::new(config.limits.memory)))
 }
