--- /dev/null
+++ b/tests/node/version_upgrade.rs
@@ -0,0 +1,236 @@
+//! From one version of the program to another: the state file, and hot restart between the two.
+
+use std::fs;
+use std::io::Write;
+use std::net::{SocketAddr, TcpListener};
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::thread;
+use std::time::Duration;
+
+use serde_json::{Value, json};
+
+use crate::support::*;
+
+/// Descriptors of the node: few enough for both processes to notice.
+const SOCKETS: usize = 160;
+
+/// How many connections send requests while one process takes over from the other.
+const LOAD: usize = 4;
+
+/// A state file as the program wrote it at dd85554, under its name there.
+const PREVIOUS_NAME: &str = "dunelink-n0.json";
+const PREVIOUS_STATE: &str = r#"{"version":1,"orders":{"starts":3,"standby":true,"maintenance":["a","b"],"returned":{"c":1764680000000000}}}"#;
+
+#[test]
+fn a_state_file_of_the_version_before_holds_and_keeps_its_form() {
+    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let targets = ["a", "b", "c"].map(|uid| ready_endpoint(uid, &upstream));
+    let state_dir = state_dir();
+    let path = state_dir.join(PREVIOUS_NAME);
+    fs::write(&path, PREVIOUS_STATE).unwrap();
+    let node = Node::with_admin(&targets, 1024, &state_dir);
+    assert_eq!(node.admin_status(), json!({"phase": "standby", "able": true, "maintenance": ["a", "b"]}));
+    assert_eq!(node.health(), 503);
+    let started = PREVIOUS_STATE.replace("\"starts\":3", "\"starts\":4");
+    wait_until("it has counted itself", || fs::read_to_string(&path).unwrap() == started);
+    assert_eq!(node.admin_request("POST", "/active", "").status(), 200);
+    assert_eq!(fs::read_to_string(&path).unwrap(), started.replace("\"standby\":true", "\"standby\":false"));
+    assert_eq!(node.set_maintenance("exit", "b"), 200);
+    let written = fs::read_to_string(&path).unwrap();
+    let form = r#"{"version":1,"orders":{"starts":4,"standby":false,"maintenance":["a"],"returned":{"b":"#;
+    let since = written.strip_prefix(form).and_then(|rest| rest.strip_suffix("}}}")).expect(&written);
+    assert!(since.parse::<u64>().is_ok_and(|micros| micros > 1_764_680_000_000_000), "{written}");
+    let files = fs::read_dir(&state_dir).unwrap().map(|entry| entry.unwrap().file_name());
+    let mut files: Vec<String> = files.map(|name| name.into_string().unwrap()).collect();
+    files.sort();
+    assert_eq!(files, [PREVIOUS_NAME, "dunelink-n0.lock"]);
+}
+
+/// What clients have seen.
+#[derive(Default)]
+struct Load {
+    stop: AtomicBool,
+    answered: AtomicUsize,
+    /// Requests sent once more, on a new connection, as the node had closed the one that they were sent on: the
+    /// protocol allows for that between requests.
+    resent: AtomicUsize,
+}
+
+impl Load {
+    /// Sends one request after the other. Each is answered by the endpoint that is not in maintenance.
+    fn run(&self, address: SocketAddr) {
+        let (mut client, mut is_new) = (Connection::open(address), true);
+        while !self.stop.load(Ordering::SeqCst) {
+            client.send(&view_request());
+            let closed = match client.try_receive() {
+                Some(response) => {
+                    assert_eq!(
+                        (response.status(), &response.body[..]),
+                        (200, &b"one"[..]),
+                        "{}",
+                        response.start_line
+                    );
+                    self.answered.fetch_add(1, Ordering::SeqCst);
+                    response.header("connection") == Some("close")
+                }
+                None => {
+                    assert!(!is_new, "a request on a new connection was lost");
+                    self.resent.fetch_add(1, Ordering::SeqCst);
+                    true
+                }
+            };
+            is_new = closed;
+            if closed {
+                client = Connection::open(address);
+            }
+            thread::sleep(Duration::from_millis(2));
+        }
+    }
+
+    fn answered(&self) -> usize {
+        self.answered.load(Ordering::SeqCst)
+    }
+
+    /// Waits until this many more requests are answered.
+    fn goes_on(&self, requests: usize) {
+        let before = self.answered();
+        wait_until("clients are served", || self.answered() >= before + requests);
+    }
+}
+
+/// Ends the load, also where the test fails.
+struct StopOnDrop<'a>(&'a Load);
+
+impl Drop for StopOnDrop<'_> {
+    fn drop(&mut self) {
+        self.0.stop.store(true, Ordering::SeqCst);
+    }
+}
+
+/// The program of the version before.
+fn previous() -> PathBuf {
+    let named = std::env::var_os("MOTHSPOOL_PREVIOUS");
+    named.expect("MOTHSPOOL_PREVIOUS names a program of the version before").into()
+}
+
+fn current() -> PathBuf {
+    env!("CARGO_BIN_EXE_mothspool").into()
+}
+
+/// The endpoint "a", and "b" and "c", which are to be in maintenance.
+struct Endpoints {
+    serving: UpstreamServer,
+    in_maintenance: UpstreamServer,
+}
+
+impl Endpoints {
+    fn new() -> Endpoints {
+        let serving = UpstreamServer::new(|_, request| match request.start_line.starts_with("POST") {
+            true => Reply::SendDelayed(Vec::new(), Duration::from_millis(2500), response(200, "", "late")),
+            false => ok("one"),
+        });
+        Endpoints { serving, in_maintenance: UpstreamServer::new(|_, _| ok("two")) }
+    }
+
+    fn list(&self) -> [Value; 3] {
+        let endpoints = [("a", &self.serving), ("b", &self.in_maintenance), ("c", &self.in_maintenance)];
+        endpoints.map(|(uid, upstream)| ready_endpoint(uid, upstream))
+    }
+
+    /// Sends a request that takes 2.5 s, and returns once its endpoint has it.
+    fn send_slow_request(&self, node: &Node) -> Connection {
+        let mut client = node.client();
+        client.send(&order_request());
+        while !self.serving.next_request().1.start_line.starts_with("POST") {}
+        client
+    }
+}
+
+fn serves(node: &Node) -> bool {
+    node.admin_request("GET", "/status", "").status() == 200
+}
+
+/// The state file after this many starts.
+fn state(starts: u32, standby: bool) -> String {
+    format!(
+        r#"{{"version":1,"orders":{{"starts":{starts},"standby":{standby},"maintenance":["b","c"],"returned":{{}}}}}}"#
+    )
+}
+
+/// What was ordered of the older process holds for the newer one, and what either is told holds for both.
+fn orders_hold_for_both(older: &Node, newer: &Node) {
+    let standby = json!({"phase": "standby", "able": true, "maintenance": ["b", "c"]});
+    assert_eq!(newer.admin_status(), standby);
+    assert_eq!(newer.admin_request("POST", "/active", "").status(), 200);
+    assert_eq!(older.admin_status()["phase"], "serving");
+    assert_eq!(older.admin_request("POST", "/standby", "").status(), 200);
+    assert_eq!(newer.admin_status(), standby);
+    assert_eq!(older.admin_request("POST", "/active", "").status(), 200);
+    assert_eq!(newer.admin_status()["phase"], "serving");
+}
+
+/// Runs a node with one program, has the other take over under load, and ends the first.
+fn take_over(from: &Path, to: &Path) {
+    let (endpoints, state_dir) = (Endpoints::new(), state_dir());
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let start = |program| Node::with_program(program, &endpoints.list(), &listener, &state_dir, SOCKETS);
+    let read = |file: &str| fs::read_to_string(state_dir.join(file)).unwrap();
+    let mut older = start(from);
+    wait_until("the older one serves", || serves(&older));
+    assert_eq!((older.set_maintenance("enter", "b"), older.set_maintenance("enter", "c")), (200, 200));
+    assert_eq!(older.admin_request("POST", "/standby", "").status(), 200);
+    assert_eq!(read(PREVIOUS_NAME), state(1, true));
+    let (load, address) = (Load::default(), older.address);
+    thread::scope(|scope| {
+        let stop = StopOnDrop(&load);
+        let clients: Vec<_> = (0..LOAD).map(|_| scope.spawn(|| load.run(address))).collect();
+        load.goes_on(100);
+        let mut slow = endpoints.send_slow_request(&older);
+        let before = load.answered();
+
+        let newer = start(to);
+        wait_until("the newer one serves", || serves(&newer));
+        assert_eq!(read("dunelink-n0.given-way"), "2");
+        assert!(older.open_descriptors() + newer.open_descriptors() <= SOCKETS);
+        orders_hold_for_both(&older, &newer);
+        load.goes_on(100);
+        older.terminate();
+        wait_until("the older one shuts down", || older.admin_status()["phase"] == "leaving");
+        assert_eq!(older.health(), 200, "the node serves");
+        assert_eq!(slow.receive().body, b"late");
+        assert!(older.wait_for_exit().success());
+        let during = load.answered() - before;
+
+        load.goes_on(100);
+        let serving = json!({"phase": "serving", "able": true, "maintenance": ["b", "c"]});
+        assert_eq!((newer.health(), newer.admin_status()), (200, serving));
+        drop(stop);
+        clients.into_iter().for_each(|client| client.join().unwrap());
+        let after = load.answered() - before - during;
+        let resent = load.resent.load(Ordering::SeqCst);
+        let _ = writeln!(
+            std::io::stderr(),
+            "requests answered: {before} before, {during} during and {after} after; {resent} of them sent again"
+        );
+    });
+    assert_eq!(endpoints.in_maintenance.request_count(), 0, "nothing goes to an endpoint in maintenance");
+    assert_eq!(read(PREVIOUS_NAME), state(2, false));
+}
+
+#[test]
+fn this_version_takes_over_from_itself() {
+    take_over(&current(), &current());
+}
+
+#[test]
+#[ignore = "needs MOTHSPOOL_PREVIOUS, a program of the version before"]
+fn this_version_takes_over_from_the_one_before() {
+    take_over(&previous(), &current());
+}
+
+#[test]
+#[ignore = "needs MOTHSPOOL_PREVIOUS, a program of the version before"]
+fn the_version_before_takes_over_from_this_one() {
+    take_over(&current(), &previous());
+}
--- /dev/null
+++ b/tests/unit/support.rs
@@ -0,0 +1,60 @@
+//! What unit tests of the node share.
+
+use std::fs;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::sync::atomic::{AtomicUsize, Ordering};
+
+use crate::body::BufferBudget;
+use crate::config::Config;
+use crate::upstream::UpstreamPool;
+
+/// An empty folder, removed when dropped.
+pub struct TempFolder(pub PathBuf);
+
+impl TempFolder {
+    pub fn new() -> TempFolder {
+        static NUMBER: AtomicUsize = AtomicUsize::new(0);
+        let number = NUMBER.fetch_add(1, Ordering::SeqCst);
+        let path = std::env::temp_dir().join(format!("mothspool-unit-{}-{number}", std::process::id()));
+        fs::create_dir_all(&path).unwrap();
+        TempFolder(path)
+    }
+
+    /// The names of the files in it, sorted.
+    pub fn names(&self) -> Vec<String> {
+        let entries = fs::read_dir(&self.0).unwrap();
+        let mut names: Vec<String> =
+            entries.map(|entry| entry.unwrap().file_name().into_string().unwrap()).collect();
+        names.sort();
+        names
+    }
+
+    pub fn read(&self, name: &str) -> String {
+        fs::read_to_string(self.0.join(name)).unwrap()
+    }
+}
+
+impl Drop for TempFolder {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+/// A small configuration, with one class of requests.
+pub fn config() -> Rc<Config> {
+    let class = r#"{"name":"view","idempotency":"pure","goal_time_us":100000,"deadline_us":1000000}"#;
+    let text = format!(
+        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{{"services":[{class}]}}}}"#
+    );
+    let folder = TempFolder::new();
+    let path = folder.0.join("config.json");
+    fs::write(&path, text).unwrap();
+    Rc::new(Config::read(path.to_str().unwrap()).unwrap())
+}
+
+/// A connection pool without endpoints.
+pub fn upstream() -> Rc<UpstreamPool> {
+    let config = config();
+    Rc::new(UpstreamPool::new(&config, BufferBudget::new(config.memory)))
+}
