--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -23,6 +23,7 @@
         TokenBucket { rate_per_second, burst, tokens: burst, refilled_at: Timestamp::default() }
     }
 
+    /// Takes a token, and returns whether there was one.
     fn take(&mut self, now: Timestamp) -> bool {
         let refill = self.rate_per_second * now.micros_since(self.refilled_at) / 1e6;
         self.tokens = (self.tokens + refill).min(self.burst);
@@ -37,12 +38,14 @@
 const WAIT_STEP: f64 = 0.2;
 /// How far one response moves the typical latency.
 const TYPICAL_STEP: f64 = 0.05;
-/// The longest wait that counts, by the slack of its class: a few very slow endpoints are no overload of all.
+/// The longest wait that counts, as a multiple of its class's slack: a few very slow endpoints must not look
+/// like an overload of all.
 const MAX_WAIT_SLACK: f64 = 1.2;
 
 /// How long attempts wait at endpoints before they are executed, in microseconds, over all classes.
 #[derive(Default)]
 pub(super) struct QueueWaitEstimator {
+    /// The mean as of the last attempt that counted.
     mean_us: f64,
     /// The baseline latency, over classes as they are answered.
     typical_us: f64,
@@ -50,13 +53,16 @@
 }
 
 impl QueueWaitEstimator {
-    /// The mean wait. It fades to none while no attempt ends: a node that sheds all would never learn better.
+    /// The mean wait. It fades to none while no attempt ends: a node that sheds all work would otherwise
+    /// never learn that the overload is over.
     fn mean_at(&self, now: Timestamp) -> f64 {
         self.mean_us * (1.0 - now.micros_since(self.updated_at) / DECAY_TIME_US).max(0.0)
     }
 
-    /// Takes in how long an attempt took: beyond the baseline it has waited. Long requests vary by more than
-    /// they wait: a class counts by `lowest baseline / its baseline`. One not served may only raise the mean.
+    /// Takes in how long an attempt took, served or not: what is beyond its class's baseline it has waited.
+    /// Long requests vary by more than they wait, so a class counts by `lowest baseline of all / its
+    /// baseline`. An attempt that was not served has waited at least so long, and counts only where that is
+    /// above the mean.
     pub(super) fn record(
         &mut self,
         now: Timestamp,
@@ -70,7 +76,8 @@
         let waited_us = (elapsed_us - baseline_us).min(MAX_WAIT_SLACK * latency.slack_us().max(0.0));
         if served || waited_us > self.mean_us {
             self.typical_us += TYPICAL_STEP * (baseline_us - self.typical_us);
-            // A lost response must not look like load: one wait moves the mean by a typical latency at most.
+            // Load makes all waits a little longer, a lost response or a silent endpoint makes some endless:
+            // no wait counts as further from the mean than by a typical latency.
             let difference = (waited_us - self.mean_us).clamp(-self.typical_us, self.typical_us);
             self.mean_us += WAIT_STEP * (shortest_baseline_us(latencies) / baseline_us) * difference;
             self.updated_at = now;
@@ -78,14 +85,20 @@
     }
 }
 
-/// Shedding begins at a mean wait of the first part of the slack, and grows to all over the second part.
-/// Within quotas that is the slack of the request's class, beyond them the least slack of all.
-const SHED_SLACK: (f64, f64) = (0.2, 0.4);
-const SHED_SLACK_OVER_QUOTA: (f64, f64) = (0.1, 0.2);
-/// A wait below this part of the typical latency is no load.
+/// Shedding of work within quotas begins at a mean wait of this part of its class's slack.
+const SHED_FROM: f64 = 0.2;
+/// It grows to all of that work over so much more of the slack.
+const SHED_RANGE: f64 = 0.4;
+/// Shedding of work beyond quotas begins at a mean wait of this part of the least slack of all classes.
+const OVER_QUOTA_SHED_FROM: f64 = 0.1;
+/// It grows to all of that work over so much more of that slack.
+const OVER_QUOTA_SHED_RANGE: f64 = 0.2;
+/// A mean wait below this part of the typical latency is no load: responses of one class vary by as much.
 const UNLOADED_WAIT: f64 = 0.75;
 
+/// Which requests are let in: the quotas of tenants, and how long attempts wait.
 pub(super) struct Admission {
+    /// By tenant.
     quotas: Vec<TokenBucket>,
     pub(super) queue_wait: QueueWaitEstimator,
 }
@@ -102,9 +115,11 @@
         quota.is_none_or(|quota| quota.take(now))
     }
 
-    /// The probability of being admitted: `1 - (1 - visibility) * clamp((wait - from) / range, 0, 1)`. A node
-    /// that sees little load by its own counts sees overload only in how long attempts wait: once that uses
-    /// up the slack, more work would make all of it late. A node that sees the load queues instead.
+    /// The probability that a request is admitted: `1 - (1 - visibility) * clamp((wait - from) / range, 0,
+    /// 1)`, with the local load visibility of the concurrency limit. A node that sees little of the load by
+    /// its own counts sees an overload only in how long its few attempts wait; once that uses up what the
+    /// latency objectives leave, more work would make all of it late. A node that sees the load queues
+    /// requests instead.
     pub(super) fn probability(
         &self,
         now: Timestamp,
@@ -115,10 +130,10 @@
         let (from, range) = if request.within_quota {
             let slack_us = latencies[request.class].slack_us();
             let unloaded_us = self.queue_wait.typical_us * UNLOADED_WAIT;
-            ((SHED_SLACK.0 * slack_us).max(unloaded_us), SHED_SLACK.1 * slack_us)
+            ((SHED_FROM * slack_us).max(unloaded_us), SHED_RANGE * slack_us)
         } else {
             let slack_us = latencies.iter().map(LatencyEstimator::slack_us).fold(f64::MAX, f64::min);
-            (SHED_SLACK_OVER_QUOTA.0 * slack_us, SHED_SLACK_OVER_QUOTA.1 * slack_us)
+            (OVER_QUOTA_SHED_FROM * slack_us, OVER_QUOTA_SHED_RANGE * slack_us)
         };
         let overload = ((self.queue_wait.mean_at(now) - from) / range.max(1.0)).clamp(0.0, 1.0);
         1.0 - (1.0 - local_load_visibility) * overload
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -3,7 +3,10 @@
 use std::time::Duration;
 
 use super::Balancer;
-use super::interface::*;
+use super::interface::{
+    Action, AttemptNumber, AttemptResult, Outcome, Request, RequestId, as_micros_f64,
+    duration_from_micros_f64,
+};
 use super::requests::{ActiveRequest, Attempt, AttemptState, QueuedRequest};
 use super::retry::{may_send, retry_deadline};
 use super::subsets::pool_of;
@@ -15,6 +18,7 @@
 const ABANDON_CLOCK_STEPS: u32 = 2;
 
 impl Balancer {
+    /// Queues a request and sends it if there is capacity, or sheds it.
     pub(super) fn request_arrived(&mut self, request: Request) {
         let (id, now) = (request.id, self.now);
         let Some(class) = self.settings.classes.get(request.class) else {
@@ -57,6 +61,8 @@
         self.schedule(id);
     }
 
+    /// Learns from the end of an attempt; then the request is finished, queued again or given its final
+    /// answer.
     pub(super) fn attempt_ended(&mut self, result: AttemptResult) {
         let (id, outcome) = (result.request, result.outcome);
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -106,7 +112,8 @@
         }
     }
 
-    /// Gives the final answer without a response: a rejection if another try by the client is harmless.
+    /// Gives the final answer without a response: a rejection where it is true and another try by the client
+    /// does no harm, else a failure.
     pub(super) fn reject_or_fail(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let (entry, not_executed) = (&request.entry, request.not_executed());
--- a/src/balancer/concurrency.rs
+++ b/src/balancer/concurrency.rs
@@ -15,9 +15,11 @@
 
 /// What a response tells of the limit.
 pub(super) struct LimitSample<'a> {
-    /// That of its class, with this response.
+    /// The latency of its class, with this response.
     pub(super) latency: &'a LatencyEstimator,
+    /// How long the attempt took.
     pub(super) elapsed_us: f64,
+    /// Whether the request is within its tenant's quota.
     pub(super) within_quota: bool,
     /// Whether requests within quotas are queued.
     pub(super) queued: bool,
@@ -42,17 +44,21 @@
         self.limit / self.node_count
     }
 
-    /// How much of an endpoint's load this node's own counts show: `2 * limit / node_count`, at most 1. A
-    /// node whose part of the limit is under half an attempt mostly counts zero, whatever the load.
+    /// How much of an endpoint's load this node's own counts show, from 0 to 1: `2 * limit / node_count`, at
+    /// most 1. A node whose part of the limit is under half an attempt mostly counts zero, however loaded the
+    /// endpoint is.
     pub(super) fn local_load_visibility(&self) -> f64 {
         (2.0 * self.limit / self.node_count).min(1.0)
     }
 
+    /// Whether this node's own counts show all of the load.
     pub(super) fn sees_load(&self) -> bool {
         self.local_load_visibility() == 1.0
     }
 
-    /// Moves the limit by a response. Some are late for pauses; while all are slow, more work jams endpoints.
+    /// Moves the limit by a response: up if it was in time while others are queued, down if it was late. Late
+    /// responses may come from pauses, so that only those count which come while the median is up as well;
+    /// and while it is up, more work would only overload endpoints.
     pub(super) fn record(&mut self, now: Timestamp, sample: &LimitSample<'_>, ready_endpoints: usize) {
         let latency = sample.latency;
         let factor = match (sample.elapsed_us > latency.objective_us, latency.is_slowed_down()) {
@@ -60,10 +66,11 @@
             (false, false) if sample.queued => GROWTH,
             _ => 1.0,
         };
-        // Counting what arrives, not what is served, or a baseline that is a guess, would jam endpoints.
+        // Demand is what is served. Counting what arrives, or a baseline that is a guess yet, would raise the
+        // limit until endpoints are overloaded.
         let counts = sample.within_quota && !latency.is_guess();
         self.demand.add(now, if counts { latency.baseline_us } else { 0.0 });
-        // Little's law: arrivals per microsecond times microseconds each takes.
+        // Little's law: arrivals per microsecond times the microseconds each takes is concurrency.
         let needed = self.demand.rate_per_us(now) * self.node_count / ready_endpoints.max(1) as f64;
         // A slowdown of all endpoints makes every response late; shrinking further would only serve fewer.
         self.limit = (self.limit * factor).max(DEMAND_MULTIPLE * needed).max(INITIAL_LIMIT);
--- a/src/balancer/decay.rs
+++ b/src/balancer/decay.rs
@@ -10,8 +10,10 @@
 /// A count that decays: an amount counts `amount * exp(-age / DECAY_TIME_US)`.
 #[derive(Clone, Copy, Default)]
 pub(super) struct DecayingCounter {
+    /// The count as of `updated_at`.
     value: f64,
     updated_at: Timestamp,
+    /// When the first amount was added.
     started_at: Timestamp,
 }
 
@@ -21,10 +23,12 @@
         DecayingCounter { value, updated_at: now, started_at: now }
     }
 
+    /// The decayed count.
     pub(super) fn value_at(&self, now: Timestamp) -> f64 {
         self.value * (-now.micros_since(self.updated_at) / DECAY_TIME_US).exp()
     }
 
+    /// Adds to the count.
     pub(super) fn add(&mut self, now: Timestamp, amount: f64) {
         let started_at = if self.started_at == Timestamp::default() { now } else { self.started_at };
         *self = DecayingCounter { value: self.value_at(now) + amount, updated_at: now, started_at };
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -10,13 +10,16 @@
 
 /// One endpoint and what this node knows of it.
 pub(super) struct Endpoint {
+    /// Its entry in the last list that named it.
     pub(super) info: EndpointInfo,
     /// Size against the mean of the ready endpoints.
     pub(super) relative_size: f64,
-    /// The part of that size which falls to this node's subset; a little of it where none does.
+    /// The part of that size which falls to this node's subset; where none does, a little of it by the
+    /// distance to the subset.
     pub(super) selection_weight: f64,
-    /// Attempts of this node that it executes.
+    /// Attempts of this node that it is executing.
     pub(super) in_flight: u32,
+    /// When this node last sent it an attempt; the clock's start for never.
     pub(super) last_sent: Timestamp,
     pub(super) outliers: EndpointOutliers,
     pub(super) latency_ratio: LatencyRatio,
@@ -59,6 +62,7 @@
         self.endpoints.binary_search_by_key(&id, |endpoint| endpoint.info.id)
     }
 
+    /// The endpoint of this id, if it is known.
     pub(super) fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
         self.find(id).ok().map(|i| &mut self.endpoints[i])
     }
@@ -108,8 +112,9 @@
         }
     }
 
-    /// The size that lists state. By weights that fall with load all nodes would crowd what was idle a while
-    /// ago: there it is the largest weight seen of the machine type.
+    /// The size that lists state. A weight that falls with load is old, and the same at all nodes: by it all
+    /// of them would crowd what was idle a while ago. There the largest weight seen of the machine type is
+    /// the size.
     fn stated_size(&self, i: usize, settings: &Settings) -> f64 {
         let info = &self.endpoints[i].info;
         match self.machine_type_sizes.get(&info.machine_type) {
@@ -118,7 +123,8 @@
         }
     }
 
-    /// The part of its capacity that it surely has: from `slow_start_from` evenly to 1 over the window.
+    /// The part of its capacity that an endpoint surely has: it grows evenly from `slow_start_from` at its
+    /// start to 1 at the end of `slow_start_window`.
     pub(super) fn slow_start_factor(&self, i: usize, now: Timestamp, settings: &Settings) -> f64 {
         let started_at = self.maintenance.started_at(&self.endpoints[i].info);
         let long_ago = started_at == Timestamp::default();
--- a/src/balancer/feedback.rs
+++ b/src/balancer/feedback.rs
@@ -9,7 +9,9 @@
 use super::requests::{Attempt, QueuedRequest};
 
 impl Balancer {
-    /// Learns from the end of an attempt. A response to one not executing any more, or yet, tells no speed.
+    /// Learns from the end of an attempt. The response of an endpoint that was not executing it any more, or
+    /// not yet, does not tell how fast the endpoint is; nor does what was sent before its return from
+    /// maintenance.
     pub(super) fn learn(&mut self, entry: &QueuedRequest, end: Attempt, outcome: Outcome, elapsed: Duration) {
         let Ok(i) = self.table.find(end.endpoint.id) else { return };
         self.table.endpoints[i].in_flight -= u32::from(end.executing);
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -8,7 +8,8 @@
 const HEDGE_MULTIPLE: f64 = 2.0;
 /// How far one race moves the win rate.
 const WIN_RATE_STEP: f64 = 0.05;
-/// Hedges are worth the whole of a pool's capacity while they win more than this part of their races.
+/// Hedges may fill a pool like first attempts while they win more than this part of their races; else only
+/// the part that is spare.
 const MIN_WIN_RATE: f64 = 0.1;
 
 /// How often the later attempt wins where one is served while another is in flight.
@@ -18,18 +19,21 @@
 }
 
 impl HedgeStatistics {
+    /// A race of two attempts has ended.
     pub(super) fn record(&mut self, hedge_won: bool) {
         self.win_rate += WIN_RATE_STEP * (f64::from(u8::from(hedge_won)) - self.win_rate);
     }
 
-    /// Whether hedges win often enough to compete with first attempts: those of long requests mostly lose.
+    /// Whether hedges win often enough to compete with first attempts. Those of long requests mostly lose,
+    /// and only fill endpoints.
     pub(super) fn pay_off(&self) -> bool {
         self.win_rate > MIN_WIN_RATE
     }
 }
 
-/// When a request is to be hedged: while a hedge would just meet the objective, but not before a response is
-/// overdue. `sent + max(objective - sent - 2 * median, 1.5 * median)`.
+/// When a request is to be hedged: as late as a hedge would still meet the latency objective, but not before
+/// the response to its last attempt is overdue. `sent + max(objective - sent - 2 * median, 1.5 * median)`;
+/// none if no attempt is in flight.
 pub(super) fn hedge_at(request: &ActiveRequest, latency: &LatencyEstimator) -> Option<Timestamp> {
     let last = request.in_flight().next_back()?;
     let objective_us = request.entry.objective_at.micros_since(last.sent_at);
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -17,15 +17,18 @@
 
 /// How long the responses of one class take, in microseconds.
 pub(super) struct LatencyEstimator {
+    /// The latency objective of the class, without the part that grows with work.
     pub(super) objective_us: f64,
     /// The recent median: raised or lowered by a fixed ratio with each response above or below it.
     pub(super) median_us: f64,
     /// The lowest that the median was: the latency without load.
     pub(super) baseline_us: f64,
+    /// Responses seen, and the first guess.
     samples: f64,
 }
 
 impl LatencyEstimator {
+    /// An estimator that has seen no response: a guess from the latency objective.
     pub(super) fn new(class: &RequestClass) -> LatencyEstimator {
         let objective_us = as_micros_f64(class.latency_objective);
         let guess = objective_us * INITIAL_OBJECTIVE_FRACTION;
@@ -59,6 +62,7 @@
         self.median_us > self.baseline_us * LATENCY_TOLERANCE
     }
 
+    /// Whether too few responses were seen for the baseline to be more than a guess.
     pub(super) fn is_guess(&self) -> bool {
         self.samples <= GUESSED_SAMPLES
     }
@@ -69,9 +73,11 @@
     latencies.iter().map(|latency| latency.baseline_us).fold(f64::MAX, f64::min)
 }
 
-/// How far one response moves an endpoint's latency ratio, and the least and the most that it can be.
+/// How far one response moves an endpoint's latency ratio.
 const RATIO_STEP: f64 = 0.05;
+/// The least latency ratio that an endpoint can have.
 const MIN_RATIO: f64 = 0.5;
+/// The largest: a slow endpoint still gets a part of the work, and so the chance to improve.
 const MAX_RATIO: f64 = 4.0;
 
 /// The median latency of an endpoint against that of all, over all classes; 1 where nothing is known.
--- a/src/balancer/maintenance.rs
+++ b/src/balancer/maintenance.rs
@@ -8,12 +8,15 @@
 /// An endpoint's return from maintenance.
 struct Return {
     at: Timestamp,
-    /// It was in use before and was sent nothing since: chance might pass it over for long.
+    /// It was in use before and was sent nothing since: with little traffic, chance might pass it over for
+    /// long.
     probe_pending: bool,
 }
 
+/// Maintenance of endpoints, as operators ordered it.
 #[derive(Default)]
 pub(super) struct Maintenance {
+    /// Endpoints that are out of use.
     pub(super) ongoing: BTreeSet<EndpointId>,
     /// Those of them that were in use when it began.
     were_in_use: BTreeSet<EndpointId>,
@@ -50,6 +53,7 @@
         self.returns.get(&id).is_some_and(|returned| returned.probe_pending)
     }
 
+    /// Something is being sent to the endpoint.
     pub(super) fn probed(&mut self, id: EndpointId) {
         self.returns.get_mut(&id).into_iter().for_each(|returned| returned.probe_pending = false);
     }
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -3,13 +3,17 @@
 use std::time::Duration;
 
 use super::Balancer;
-use super::interface::*;
+use super::interface::{
+    Action, DiscoveryMode, EndpointId, EndpointInfo, TimerToken, Timestamp, whole_micros,
+};
 
-/// The longest wait after a first failed poll; it doubles with each further one, but only so often.
+/// The longest wait after a first failed poll; it doubles with each further one.
 const POLL_BACKOFF: Duration = Duration::from_secs(1);
+/// After so many doublings the wait grows no more.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 impl Balancer {
+    /// Takes in a list, complete or of changes.
     pub(super) fn endpoints_changed(&mut self, list: Vec<EndpointInfo>, complete: bool) {
         self.failed_polls = 0;
         // Weights that follow load come twice a second: new pools for each would take a node's CPU.
@@ -19,6 +23,7 @@
         self.dispatch();
     }
 
+    /// Takes an endpoint out of use, whatever lists say.
     pub(super) fn enter_maintenance(&mut self, id: EndpointId) {
         let in_use = self.table.get_mut(id).is_some_and(|e| e.last_sent > Timestamp::default());
         if self.table.maintenance.enter(id, in_use) {
@@ -38,14 +43,16 @@
         self.dispatch();
     }
 
+    /// Asks for changes of the list where they don't come by themselves.
     pub(super) fn poll_discovery(&mut self) {
         if self.settings.discovery != DiscoveryMode::Push {
             self.actions.push(Action::Subscribe);
         }
     }
 
-    /// Polls again after at most half of the longest time without a poll. The wait is drawn from the upper
-    /// half of its range, so that nodes which failed together do not poll together.
+    /// Polls again after a wait of at most half of the longest time that the settings allow without a poll.
+    /// The wait is drawn from the upper half of its range, so that nodes which failed together do not poll
+    /// together.
     pub(super) fn discovery_failed(&mut self) {
         let DiscoveryMode::Poll { interval } = self.settings.discovery else { return };
         let backoff_us = whole_micros(POLL_BACKOFF) << self.failed_polls.min(MAX_BACKOFF_DOUBLINGS);
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -3,7 +3,8 @@
 use super::decay::DecayingCounter;
 use super::interface::{Timestamp, duration_from_micros_f64};
 
-/// Ejection time in microseconds for each excess failure: going on failing makes it longer each time.
+/// Ejection time for each excess failure, in microseconds: an endpoint that goes on failing is ejected for
+/// longer each time.
 const EJECTION_PER_FAILURE_US: f64 = 100_000.0;
 
 /// What a failure tells of the endpoint.
@@ -16,7 +17,8 @@
 }
 
 impl Failure {
-    /// What is normal among peers: the mean; of errors, as most may err on a class, the lower quartile.
+    /// What counts as normal among peers with these counts: the mean. Of errors it is the lower quartile, as
+    /// most peers may err on one class while the others serve it.
     pub(super) fn baseline(self, mut counts: Vec<f64>) -> f64 {
         counts.sort_by(f64::total_cmp);
         match self {
@@ -29,6 +31,7 @@
 /// Failures of one kind at one endpoint.
 #[derive(Clone, Copy, Default)]
 pub(super) struct OutlierDetector {
+    /// Its recent failures, decaying.
     pub(super) recent: DecayingCounter,
     /// How many of them are normal among its peers.
     pub(super) baseline: DecayingCounter,
@@ -51,6 +54,7 @@
 /// All failures of one endpoint.
 #[derive(Default)]
 pub(super) struct EndpointOutliers {
+    /// Failures that may befall any request.
     any: OutlierDetector,
     /// Errors by class: an endpoint that errs on one may serve the others well.
     errors: Vec<OutlierDetector>,
@@ -64,6 +68,7 @@
         }
     }
 
+    /// The detector that counts failures of a kind.
     pub(super) fn detector(&mut self, kind: Failure) -> &mut OutlierDetector {
         match kind {
             Failure::ErrorOf(class) => &mut self.errors[class],
@@ -76,6 +81,7 @@
         self.any.excess_failures(now) + self.errors[class].excess_failures(now)
     }
 
+    /// Whether the endpoint is ejected for all classes.
     pub(super) fn is_ejected(&self, now: Timestamp) -> bool {
         self.any.ejected_until > now
     }
--- a/src/balancer/queue.rs
+++ b/src/balancer/queue.rs
@@ -40,8 +40,8 @@
         }
     }
 
-    /// The position of the request with the highest value density, then the nearest objective. A few that are
-    /// tied to full endpoints must not stop other classes.
+    /// The position of the queued request with the highest value density, of several the one with the nearest
+    /// objective. A few that are tied to full endpoints must not stop other classes.
     fn most_valuable(&self, pool: usize, blocked: &[QueuedRequest]) -> Option<usize> {
         let blocked_of = |class: usize| blocked.iter().filter(|request| request.class == class).count();
         let queued = self.queues[pool].iter().enumerate();
@@ -50,7 +50,8 @@
         valued.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1))).map(|best| best.2)
     }
 
-    /// The pool itself while it has capacity, then overflow pools: what is free may be ejected endpoints.
+    /// The pool itself while it has capacity, then the overflow pools: the capacity that a pool has left may
+    /// be that of ejected endpoints.
     fn pools_with_capacity(&self, pool: usize, request: &QueuedRequest) -> Vec<usize> {
         let part = if request.within_quota { 1.0 } else { OVER_QUOTA_CAPACITY };
         let own = self.has_capacity(pool, part).then_some(pool);
@@ -58,8 +59,9 @@
         own.into_iter().chain(others.filter(|other| self.takes_overflow(*other, pool, request))).collect()
     }
 
-    /// Whether a pool takes a request of another: its own tenants queue nothing and leave half of it free.
-    /// Where nodes see little load it looks free to each: there it takes, by hash, what the sizes warrant.
+    /// Whether a pool takes a request of another one: its own tenants queue nothing and leave half of it
+    /// free. Where nodes see little of the load the pool looks free to each of them: there it takes, by a
+    /// hash of request and pool, only the part of the other pool's requests that the sizes of both warrant.
     fn takes_overflow(&self, pool: usize, from: usize, request: &QueuedRequest) -> bool {
         let size = self.pools[pool].members.len() as f64;
         let warranted = || unit_hash(request.id, pool as u64) * self.members(from).len() as f64 <= size;
@@ -69,7 +71,8 @@
             && (self.concurrency.sees_load() || warranted())
     }
 
-    /// What a response to the request, sent now, would earn for the time it takes: weights per microsecond.
+    /// What a response to the request, sent now, would earn for the time it takes: `priority weight * quota
+    /// weight * late weight / median`, per microsecond.
     fn value_density(&self, request: &QueuedRequest) -> f64 {
         let class = &self.settings.classes[request.class];
         let quota_weight = if request.within_quota { 1.0 } else { self.settings.over_quota_weight };
--- a/src/balancer/reevaluation.rs
+++ b/src/balancer/reevaluation.rs
@@ -27,6 +27,7 @@
         }
     }
 
+    /// Rejects, fails or hedges a request if it is time to.
     pub(super) fn reevaluate(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.finished || request.timer_at > self.now {
@@ -47,14 +48,16 @@
     fn is_hopeless(&self, request: &ActiveRequest) -> bool {
         let entry = &request.entry;
         let late_is_worthless = !entry.within_quota || self.settings.classes[entry.class].late_weight == 0.0;
-        // An answer late in its time costs a client more than a poor chance of a turn is worth.
+        // An answer late in its time, with nothing ever sent, costs a client more than a poor chance of a
+        // turn is worth.
         let waited_too_long = self.now >= request.queue_until && request.not_executed();
         let too_late = self.would_be_late(entry) && (late_is_worthless || waited_too_long);
         let forgotten = retry_deadline(&self.settings, request).is_some_and(|deadline| deadline <= self.now);
         self.table.ready.is_empty() || too_late || forgotten || waited_too_long && !entry.within_quota
     }
 
-    /// Whether its endpoint seems to pause, and its pool has capacity to spare for a hedge.
+    /// Whether the endpoint of a request's last attempt seems to pause, and its pool has capacity to spare
+    /// for a hedge.
     fn needs_hedge(&self, request: &ActiveRequest) -> bool {
         let part = if self.hedges.pay_off() { 1.0 } else { SPARE_CAPACITY };
         let latency = &self.latencies[request.entry.class];
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -43,8 +43,9 @@
     }
 }
 
-/// When endpoints begin to forget the key of a request that may have been executed: what begins later might
-/// be executed again. `first attempt + idempotency window - time to arrive` (or a step of a coarse clock).
+/// When endpoints begin to forget the key of a request that may have been executed: an attempt that begins
+/// then might be executed again. `first attempt + idempotency window - time to arrive`; none for other
+/// requests. A clock coarser than the time to arrive takes its place.
 pub(super) fn retry_deadline(settings: &Settings, request: &ActiveRequest) -> Option<Timestamp> {
     let class = &settings.classes[request.entry.class];
     let Idempotency::IdempotentWithKey { window, .. } = class.idempotency else { return None };
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -40,6 +40,7 @@
         fitting
     }
 
+    /// Whether an endpoint may be sent a request and has capacity for it.
     fn fits(&self, i: usize, request: &ActiveRequest) -> bool {
         let endpoint = &self.table.endpoints[i];
         let id = endpoint.info.id;
@@ -53,8 +54,9 @@
             && may_send(&self.settings, request, &endpoint.info, self.now)
     }
 
-    /// Draws two endpoints by capacity: with nothing in flight at either, comparing would favour the largest.
-    /// Weighted rendezvous hashing: the two least of `-ln(unit_hash) * latency_ratio / selection_weight`.
+    /// Draws two endpoints, each as likely as it has capacity: most nodes have nothing in flight at either,
+    /// and the comparison of loads alone would send nearly all to the largest. Weighted rendezvous hashing:
+    /// the two least of `-ln(unit_hash) * latency_ratio / selection_weight`.
     fn draw_two(&self, fitting: Vec<usize>, seed: u64) -> Vec<usize> {
         let rank = |i: usize| {
             let endpoint = &self.table.endpoints[i];
@@ -79,7 +81,8 @@
         members.filter(|members| !members.is_empty()).unwrap_or(&self.table.ready)
     }
 
-    /// This node's part of the limit at an endpoint, by the endpoint's size, slow start and speed.
+    /// Attempts that this node may have in flight at an endpoint: its part of the limit, by the endpoint's
+    /// size, slow start and speed. `limit / node_count * relative size * slow start / latency ratio`.
     fn capacity(&self, i: usize) -> f64 {
         let endpoint = &self.table.endpoints[i];
         let slow_start = self.table.slow_start_factor(i, self.now, &self.settings);
@@ -87,8 +90,9 @@
         share * slow_start / endpoint.latency_ratio_at(self.now)
     }
 
-    /// Whether less than this part of a pool's capacity is filled. One attempt always fits, and where little
-    /// load is seen one for each endpoint of the subset: a limit not learned yet would leave none.
+    /// Whether less than this part of a pool's capacity is filled. One attempt always fits, and at a node
+    /// that sees little of the load one for each endpoint of its subset: its part of a limit that is not
+    /// learned yet would be none.
     pub(super) fn has_capacity(&self, pool: usize, part: f64) -> bool {
         let members = self.members(pool);
         let in_flight = f64::from(members.iter().map(|i| self.table.endpoints[*i].in_flight).sum::<u32>());
@@ -97,9 +101,10 @@
         in_flight < always || in_flight < part * members.iter().map(|i| self.capacity(*i)).sum::<f64>()
     }
 
-    /// `(in flight + own + excess failures) / capacity`: else endpoints that err quickly always won. The
-    /// request itself counts (`own`) where load is seen: else, with nothing in flight, the largest always
-    /// won.
+    /// Load per capacity: `(in flight + own + excess failures) / capacity`. Failures count, as an endpoint
+    /// that errs quickly has little in flight and would win every comparison. The request itself counts
+    /// (`own`) where a node sees the load; elsewhere, with nothing in flight anywhere, it would send nearly
+    /// all to the largest.
     fn load(&self, i: usize, class: usize) -> f64 {
         let endpoint = &self.table.endpoints[i];
         let own = f64::from(u8::from(self.concurrency.sees_load()));
--- a/src/balancer/streaming.rs
+++ b/src/balancer/streaming.rs
@@ -1,11 +1,13 @@
-//! Streaming bodies: an attempt is load from the last byte of its request to the first byte of its response.
+//! Streaming bodies. An endpoint works on a request from its last byte to the first byte of its response, and
+//! only for that time is the attempt load.
 
 use super::Balancer;
 use super::interface::{AttemptNumber, Outcome, RequestId, Timestamp};
 use super::requests::ActiveRequest;
 
 impl Balancer {
-    /// A body is being forwarded and can't be sent again. The attempt's end tells when the request is over.
+    /// A request's body is being forwarded and can't be sent again. Until its last byte the endpoint only
+    /// waits, and the end of the attempt tells when the request is over.
     pub(super) fn body_forwarded(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.body_forwarded = true;
@@ -31,7 +33,8 @@
         }
     }
 
-    /// A response has begun: the endpoint is done, and how long the client takes tells nothing of it.
+    /// A response has begun: the endpoint has done its work, and how long the client takes tells nothing of
+    /// it.
     pub(super) fn response_started(&mut self, id: RequestId, number: AttemptNumber) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.finished = true;
--- a/src/balancer/subsets.rs
+++ b/src/balancer/subsets.rs
@@ -1,6 +1,9 @@
-//! Labels, pools and subsets: which endpoints a tenant's requests go to, and which of them this node prefers.
-//! Each label's pool keeps one tenant's trouble from others. Of many nodes each prefers a subset
-//! (deterministic subsetting), so that its counts tell something and its connections last.
+//! Labels, pools and subsets: which endpoints a tenant's requests go to, and which of these this node
+//! prefers.
+//!
+//! Tenants are hashed to a few labels, each with a pool of its own, so that one tenant's trouble leaves
+//! others alone. Of many nodes each prefers a subset of a pool (deterministic subsetting): it meets those
+//! endpoints often enough for its own counts to tell of them, and for connections to last.
 
 use std::cmp::Reverse;
 
@@ -18,7 +21,8 @@
 const NODES_PER_ENDPOINT: f64 = 6.0;
 /// The golden ratio's fraction: its multiples are spread evenly over the ring however many there are.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
-/// What a subset can't take goes to so many of its lengths behind it, then to as many behind those.
+/// What a subset can't take goes to so many subsets' lengths behind it on the ring, then to as many behind
+/// those.
 const SPILLOVER_SUBSETS: f64 = 4.0;
 /// The factor of the selection weight with each of these steps.
 const SPILLOVER_WEIGHT: f64 = 1e-3;
@@ -27,11 +31,13 @@
 
 /// The endpoints of one label, or those without.
 pub(super) struct Pool {
+    /// Indices in the endpoint table.
     pub(super) members: Vec<usize>,
     /// Endpoints in this node's subset.
     pub(super) subset_size: f64,
 }
 
+/// The label of a tenant.
 fn label(tenant: u64, salt: u64) -> usize {
     (hash(tenant, salt) % LABELS as u64) as usize
 }
@@ -53,8 +59,9 @@
     tenant.map_or(LABELS, |tenant| label(tenant.into(), salt))
 }
 
-/// Builds the pools: each label in turn takes the ready endpoints that rank highest for it (rendezvous
-/// hashing: list changes move few), by its tenants' part of the service; the last has the unlabelled ones.
+/// Builds the pools of all labels and, last, that of the unlabelled endpoints. Each label in turn takes the
+/// ready endpoints that rank highest for it (rendezvous hashing: a change of the list moves few). Its pool's
+/// size follows its tenants' part of the service, and what no tenant has a part of stays unlabelled.
 pub(super) fn build_pools(table: &mut EndpointTable, settings: &Settings, salt: u64) -> Vec<Pool> {
     table.refresh_ready(settings);
     let ready = table.ready.len();
@@ -75,8 +82,8 @@
 }
 
 /// Cuts this node's subset of a pool. The members lie on a ring by size, and the nodes' subsets, equal arcs
-/// of it, start at even distances: each endpoint gets its part of the work from those that overlap it. What
-/// goes elsewhere goes to the same few again, on connections that exist.
+/// of it, start at even distances, whichever nodes are up: each endpoint gets its part of the work from the
+/// subsets that overlap it. What goes elsewhere goes to the same few again, on connections that exist.
 fn cut_subset(members: Vec<usize>, table: &mut EndpointTable, settings: &Settings) -> Pool {
     let ring: f64 = members.iter().map(|i| table.endpoints[*i].relative_size).sum();
     let part = (NODES_PER_ENDPOINT / f64::from(settings.node_count)).min(1.0);
