--- a/src/balancer/interface/settings.rs
+++ b/src/balancer/interface/settings.rs
@@ -1,4 +1,4 @@
-//! What a node is told once, at its start, and the checks of it.
+//! What a node is given once, at its start, and the checks of it.
 
 use std::time::Duration;
 
@@ -80,7 +80,7 @@
     },
 }
 
-/// What a node is told once, at its start. Durations count in whole microseconds.
+/// What a node is given once, at its start. Durations count in whole microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// How many nodes share the work.
--- a/tests/balancer/hedging.rs
+++ b/tests/balancer/hedging.rs
@@ -24,7 +24,7 @@
             assert_eq!(
                 sends(&node.fire_timer(id, 290 * MS), id).len(),
                 1,
-                "an idle pool has room for a hedge"
+                "an idle pool has capacity for a hedge"
             );
             node.end_attempt(id, winner, Outcome::Served, 250 * MS);
             node.end_attempt(id, 1 - winner, Outcome::Cancelled, 250 * MS);
--- a/tests/balancer/subsets.rs
+++ b/tests/balancer/subsets.rs
@@ -6,7 +6,7 @@
 
 use crate::support::*;
 
-/// Spread over a whole pool, a node of hundreds met an endpoint once a minute: its counts told nothing, and
+/// Spread over a whole pool, a node of hundreds met an endpoint once a minute: its counts showed nothing, and
 /// each request opened a connection.
 #[test]
 fn a_node_of_many_has_a_small_subset_and_all_nodes_together_use_all_endpoints() {
