--- a/src/node/downstream/request.rs
+++ b/src/node/downstream/request.rs
@@ -15,7 +15,9 @@
 use crate::downstream::error::RequestError;
 use crate::downstream::request_ids::MAX_REQUEST_ID_BYTES;
 use crate::net::SocketObserver;
-use crate::protocol::headers::{COST, DEADLINE, ID, KEY, OWNER, drop_hop_headers};
+use crate::protocol::headers::{
+    IDEMPOTENCY_KEY, REQ_COST, REQ_DEADLINE, REQ_ID, REQ_OWNER, remove_hop_by_hop_headers,
+};
 use crate::upstream::UpstreamRequest;
 
 /// A deadline counts from the client's sending. This much of it has passed when the request is read, and
@@ -43,7 +45,7 @@
         let Parts { method, uri, headers, .. } = parts;
         let class = class_of(&uri, config).ok_or(RequestError::UnknownClass)?;
         let client_request_id = parse_request_id(&headers)?.into();
-        let deadline = single_value(&headers, &DEADLINE).and_then(parse_seconds);
+        let deadline = single_value(&headers, &REQ_DEADLINE).and_then(parse_seconds);
         let deadline = deadline.ok_or(RequestError::InvalidDeadline)?;
         check_method(&class, &method, &headers)?;
         if method == Method::GET && has_body {
@@ -51,7 +53,7 @@
         }
         // No client waits longer than its class allows. This bounds all work that is done for it, too.
         let timeout = deadline.min(class.deadline).saturating_sub(TRANSIT_ALLOWANCE);
-        let tenant = single_value(&headers, &OWNER).and_then(|name| config.tenants.get(name)).copied();
+        let tenant = single_value(&headers, &REQ_OWNER).and_then(|name| config.tenants.get(name)).copied();
         Ok(RequestHead { method, uri, headers, class, client_request_id, timeout, tenant })
     }
 
@@ -74,7 +76,7 @@
 
     /// The client's estimate of the work.
     fn expected_work(&self) -> Option<Duration> {
-        let micros: f64 = single_value(&self.headers, &COST)?.parse().ok()?;
+        let micros: f64 = single_value(&self.headers, &REQ_COST)?.parse().ok()?;
         (micros > 0.0).then_some(Duration::from_micros(micros as u64))
     }
 
@@ -89,8 +91,8 @@
     pub fn into_upstream_request(self, body: RequestBody, buffered_at: Instant) -> UpstreamRequest {
         let target = self.uri.path_and_query().cloned().unwrap_or(PathAndQuery::from_static("/"));
         let mut headers = self.headers;
-        drop_hop_headers(&mut headers);
-        headers.remove(DEADLINE);
+        remove_hop_by_hop_headers(&mut headers);
+        headers.remove(REQ_DEADLINE);
         if let Some(length) = body.length().filter(|_| self.method == Method::POST) {
             headers.insert(header::CONTENT_LENGTH, HeaderValue::from(length));
         }
@@ -129,7 +131,7 @@
 }
 
 fn parse_request_id(headers: &HeaderMap) -> Result<&str, RequestError> {
-    let id = single_value(headers, &ID).ok_or(RequestError::MissingRequestId)?;
+    let id = single_value(headers, &REQ_ID).ok_or(RequestError::MissingRequestId)?;
     let is_valid = (1..=MAX_REQUEST_ID_BYTES).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic());
     match is_valid {
         true => Ok(id),
@@ -167,10 +169,12 @@
         return Err(RequestError::WrongMethod { expected });
     }
     match class.idempotency {
-        Idempotency::IdempotentWithKey { .. } if single_value(headers, &KEY).is_none_or(str::is_empty) => {
+        Idempotency::IdempotentWithKey { .. }
+            if single_value(headers, &IDEMPOTENCY_KEY).is_none_or(str::is_empty) =>
+        {
             Err(RequestError::MissingIdempotencyKey)
         }
-        Idempotency::NonIdempotent if headers.contains_key(KEY) => {
+        Idempotency::NonIdempotent if headers.contains_key(IDEMPOTENCY_KEY) => {
             Err(RequestError::UnexpectedIdempotencyKey)
         }
         Idempotency::Idempotent | Idempotency::IdempotentWithKey { .. } | Idempotency::NonIdempotent => {
--- a/src/node/protocol/headers.rs
+++ b/src/node/protocol/headers.rs
@@ -2,42 +2,48 @@
 
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// Identifies a request.
-pub const ID: HeaderName = HeaderName::from_static("req-id");
-/// The key under which servers recognize a repeated request.
-pub const KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// How long the sender waits for the response, in seconds.
-pub const DEADLINE: HeaderName = HeaderName::from_static("req-deadline");
-/// The tenant.
-pub const OWNER: HeaderName = HeaderName::from_static("req-owner");
-/// An estimate of the work, in microseconds.
-pub const COST: HeaderName = HeaderName::from_static("req-cost");
-/// With the value `1` on a response: the server rejected the request without executing it.
-pub const DECLINED: HeaderName = HeaderName::from_static("srv-declined");
+/// `Req-Id`: identifies a request; fresh on every request, a client's retry included.
+pub const REQ_ID: HeaderName = HeaderName::from_static("req-id");
+/// `Idempotency-Key`: the key by which endpoints recognise a retry, where the class has one.
+pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
+/// `Req-Deadline`: how long the sender waits for the response, in seconds with decimals.
+pub const REQ_DEADLINE: HeaderName = HeaderName::from_static("req-deadline");
+/// `Req-Owner`: the tenant, named as in the settings.
+pub const REQ_OWNER: HeaderName = HeaderName::from_static("req-owner");
+/// `Req-Cost`: an estimate of the work, in microseconds.
+pub const REQ_COST: HeaderName = HeaderName::from_static("req-cost");
+/// `Srv-Declined`: with the value `1` on a response, the endpoint rejected the request without executing it.
+pub const SRV_DECLINED: HeaderName = HeaderName::from_static("srv-declined");
 
-/// Removes what is about one connection and not about the message.
-pub fn drop_hop_headers(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
-        .get_all(header::CONNECTION)
-        .iter()
-        .filter_map(|value| value.to_str().ok())
-        .flat_map(|value| value.split(','))
-        .filter_map(|name| name.trim().parse().ok())
-        // Without its key a keyed request would run twice, whatever a client says of its connection.
-        .filter(|name| *name != ID && *name != KEY)
-        .collect();
-    let fixed = [
-        header::CONNECTION,
-        header::CONTENT_LENGTH,
-        header::EXPECT,
-        header::TE,
-        header::TRAILER,
-        header::TRANSFER_ENCODING,
-        header::UPGRADE,
-        HeaderName::from_static("keep-alive"),
-        HeaderName::from_static("proxy-connection"),
-    ];
-    named.iter().chain(&fixed).for_each(|name| {
+/// The headers that are about one connection, or the framing of a message on it, whatever `Connection` says.
+const HOP_BY_HOP: [HeaderName; 9] = [
+    header::CONNECTION,
+    header::CONTENT_LENGTH,
+    header::EXPECT,
+    header::TE,
+    header::TRAILER,
+    header::TRANSFER_ENCODING,
+    header::UPGRADE,
+    HeaderName::from_static("keep-alive"),
+    HeaderName::from_static("proxy-connection"),
+];
+
+/// Removes the headers that are about one connection and not about the message: the fixed ones, and those that
+/// `Connection` names.
+pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
+    for name in named_by_connection(headers) {
+        headers.remove(name);
+    }
+    for name in HOP_BY_HOP {
         headers.remove(name);
-    });
+    }
+}
+
+/// The headers that `Connection` names. It can't name those that identify the request: without its key a request
+/// would be executed twice, whatever a client says of its connection.
+fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
+    let values = headers.get_all(header::CONNECTION).iter();
+    let texts = values.filter_map(|value| value.to_str().ok());
+    let names = texts.flat_map(|text| text.split(',')).filter_map(|name| name.trim().parse().ok());
+    names.filter(|name| *name != REQ_ID && *name != IDEMPOTENCY_KEY).collect()
 }
--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -14,7 +14,7 @@
 use super::response::{ResponseFraming, StreamingResponse, closes_connection, is_rejection};
 use super::stall::{InformationalCounter, response_stalled};
 use crate::body::{OutboundBody, ResponseBody, ResponsePrefix};
-use crate::protocol::headers::drop_hop_headers;
+use crate::protocol::headers::remove_hop_by_hop_headers;
 
 /// What became of an attempt.
 pub enum AttemptOutcome {
@@ -212,7 +212,7 @@
     lease: ConnectionLease,
     keeps_connection: bool,
 ) -> AttemptOutcome {
-    drop_hop_headers(&mut head.headers);
+    remove_hop_by_hop_headers(&mut head.headers);
     match prefix {
         ResponsePrefix::Complete(bytes, reservation) => {
             if keeps_connection {
--- a/src/node/upstream/request.rs
+++ b/src/node/upstream/request.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::body::{OutboundBody, RequestBody, UploadProgress};
-use crate::protocol::headers::DEADLINE;
+use crate::protocol::headers::REQ_DEADLINE;
 
 /// How often it is checked whether an endpoint still reads the body that is sent to it.
 const UPLOAD_POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -98,7 +98,7 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.clone().into();
         *request.headers_mut() = self.headers.clone();
-        request.headers_mut().insert(DEADLINE, deadline);
+        request.headers_mut().insert(REQ_DEADLINE, deadline);
         Some(request)
     }
 }
--- a/src/node/upstream/response.rs
+++ b/src/node/upstream/response.rs
@@ -5,7 +5,7 @@
 
 use super::pool::ConnectionLease;
 use crate::body::{BufferedPrefix, IncomingBody, ResponseBody, StreamingResponseBody, TransferEnd};
-use crate::protocol::headers::DECLINED;
+use crate::protocol::headers::SRV_DECLINED;
 
 /// How a response states where it ends.
 #[derive(Clone, Copy, PartialEq)]
@@ -47,7 +47,7 @@
 
 /// Whether the endpoint says that it rejected the request without executing it.
 pub(super) fn is_rejection(headers: &HeaderMap) -> bool {
-    headers.get(DECLINED).is_some_and(|value| value.as_bytes() == b"1")
+    headers.get(SRV_DECLINED).is_some_and(|value| value.as_bytes() == b"1")
 }
 
 /// The body of a response of which the first piece was read, and the rest passes through to the client.
