--- a/src/node/admin/service.rs
+++ b/src/node/admin/service.rs
@@ -13,7 +13,7 @@
 use crate::engine::EngineHandle;
 use crate::lifecycle::Lifecycle;
 use crate::log::ErrorChain;
-use crate::protocol::endpoint_list::id_of;
+use crate::protocol::endpoint_list::endpoint_id;
 use crate::state_store::{AdminState, StateStore};
 
 /// How long a response waits for the node's other process to have read the new state: two poll intervals of
@@ -44,11 +44,11 @@
         self.lifecycle.set_standby(state.standby);
         for (uid, returned_at) in &state.returned_at {
             if applied.returned_at.get(uid) != Some(returned_at) {
-                self.engine.exit_maintenance(id_of(uid), Timestamp::from_micros(*returned_at));
+                self.engine.exit_maintenance(endpoint_id(uid), Timestamp::from_micros(*returned_at));
             }
         }
         for uid in &state.maintenance {
-            self.engine.enter_maintenance(id_of(uid));
+            self.engine.enter_maintenance(endpoint_id(uid));
         }
     }
 
@@ -83,7 +83,7 @@
 
     /// An endpoint that is in maintenance may have been named to an earlier process only.
     fn check_known(&self, uid: &str) -> Result<(), CommandError> {
-        if self.store.state().maintenance.contains(uid) || self.engine.is_known(id_of(uid)) {
+        if self.store.state().maintenance.contains(uid) || self.engine.is_known(endpoint_id(uid)) {
             Ok(())
         } else {
             Err(CommandError::UnknownEndpoint)
--- a/src/node/config/error.rs
+++ b/src/node/config/error.rs
@@ -48,7 +48,7 @@
         source: AddressError,
     },
     /// A value in `settings` has the wrong type or is none that the setting can have. The message names both.
-    #[error("settings")]
+    #[error(transparent)]
     Setting(#[from] SettingsFormatError),
     /// The values in `settings` make no sense together.
     #[error(transparent)]
--- a/src/node/config/file.rs
+++ b/src/node/config/file.rs
@@ -17,6 +17,7 @@
 
 /// The configuration file, as it is written.
 #[derive(Deserialize)]
+#[serde(expecting = "a configuration")]
 pub(super) struct ConfigFile {
     /// The node's name.
     #[serde(deserialize_with = "field::name")]
@@ -46,7 +47,7 @@
 
 /// What the node may use of its machine.
 #[derive(Default, Deserialize)]
-#[serde(default)]
+#[serde(default, expecting = "limits")]
 pub(super) struct MachineLimits {
     /// Descriptors.
     #[serde(deserialize_with = "field::sockets")]
--- a/src/node/discovery/backoff.rs
+++ b/src/node/discovery/backoff.rs
@@ -52,3 +52,7 @@
         shortest + shortest.mul_f64(self.random.f64())
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/discovery_backoff.rs"]
+mod tests;
--- a/src/node/discovery/records.rs
+++ b/src/node/discovery/records.rs
@@ -5,7 +5,7 @@
 use mothspool::{EndpointInfo, EndpointState, Timestamp};
 
 use crate::config::Config;
-use crate::protocol::endpoint_list::{EndpointRecord, RecordState, id_of};
+use crate::protocol::endpoint_list::{EndpointRecord, RecordState, endpoint_id};
 
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1000;
@@ -52,7 +52,7 @@
     /// What a record says of its endpoint.
     pub(super) fn endpoint(&mut self, record: &EndpointRecord) -> EndpointInfo {
         EndpointInfo {
-            id: id_of(&record.uid),
+            id: endpoint_id(&record.uid),
             state: match record.state {
                 RecordState::Ready => EndpointState::Ready,
                 RecordState::Draining => EndpointState::Draining,
--- a/src/node/engine/handle.rs
+++ b/src/node/engine/handle.rs
@@ -70,7 +70,7 @@
         self.send(EngineEvent::Balancer(Event::EnterMaintenance(endpoint)));
     }
 
-    /// This endpoint takes requests again, as one that started at `started_at` (Unix time in microseconds).
+    /// This endpoint takes requests again, as one that started at `started_at` (Unix time).
     pub fn exit_maintenance(&self, endpoint: EndpointId, started_at: Timestamp) {
         self.upstream.exit_maintenance(endpoint);
         self.send(EngineEvent::Balancer(Event::ExitMaintenance(endpoint, started_at)));
--- a/src/node/log.rs
+++ b/src/node/log.rs
@@ -1,9 +1,10 @@
-//! The node's log: standard error.
+//! The node's log: lines on standard error.
 
 use std::error::Error;
 use std::fmt;
 
-/// Writes a line to the log. Whoever reads it may have gone; `eprintln!` would end the node then.
+/// Writes a line to the log. One that can't be written is lost: whoever reads standard error may have closed
+/// it, and `eprintln!` would panic then.
 macro_rules! log {
     ($($line:tt)*) => {{
         use std::io::Write as _;
--- a/src/node/protocol/endpoint_list.rs
+++ b/src/node/protocol/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The form of endpoint lists, as discovery sends them and the configuration holds one. The fields have the
-//! field's names here; on the wire they keep those of the protocol.
+//! The form of endpoint lists, as discovery sends them and the configuration holds one. Here its fields
+//! have the names that the code uses; on the wire they keep those of the protocol.
 
 use std::net::SocketAddr;
 
@@ -25,6 +25,7 @@
 
 /// One endpoint list: a snapshot, or the changes since the revision before.
 #[derive(Default, Deserialize)]
+#[serde(expecting = "an endpoint list")]
 pub struct EndpointList {
     /// The revision of the list that these entries lead to; it grows with each change.
     #[serde(rename = "rev", deserialize_with = "field::rev")]
@@ -39,6 +40,7 @@
 
 /// One entry of an endpoint list.
 #[derive(Deserialize)]
+#[serde(expecting = "an endpoint")]
 pub struct EndpointRecord {
     /// The endpoint's name, the same at each node and after the endpoint's restart.
     #[serde(deserialize_with = "field::uid")]
@@ -80,7 +82,7 @@
 
 /// The id of the endpoint with this uid. The hash is fixed: every node, and this one after a restart, must
 /// build the same pools.
-pub fn id_of(uid: &str) -> EndpointId {
+pub fn endpoint_id(uid: &str) -> EndpointId {
     xxhash_rust::xxh3::xxh3_64(uid.as_bytes())
 }
 
--- a/src/node/protocol/headers.rs
+++ b/src/node/protocol/headers.rs
@@ -28,8 +28,8 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Removes the headers that are about one connection and not about the message: the fixed ones, and those that
-/// `Connection` names.
+/// Removes the headers that are about one connection and not about the message: the fixed ones, and those
+/// that `Connection` names.
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     for name in named_by_connection(headers) {
         headers.remove(name);
@@ -39,8 +39,8 @@
     }
 }
 
-/// The headers that `Connection` names. It can't name those that identify the request: without its key a request
-/// would be executed twice, whatever a client says of its connection.
+/// The headers that `Connection` names. It can't name those that identify the request: without its key a
+/// request would be executed twice, whatever a client says of its connection.
 fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(header::CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
--- a/tests/node/configuration_errors.rs
+++ b/tests/node/configuration_errors.rs
@@ -1,10 +1,11 @@
 //! What the node says of a configuration that it can't use.
 
 use std::io::Read;
-use std::process::{Command, Stdio};
 
 use serde_json::{Value, json};
 
+use crate::support::*;
+
 /// A configuration that the node starts with, if its addresses are free.
 fn valid() -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f",
@@ -14,19 +15,18 @@
 }
 
 /// The one line that a node logs before it exits because of this configuration, without the file's path.
-fn rejection(name: &str, config: &str, admin: Option<&str>) -> String {
-    let path = format!("{}/invalid-{}-{name}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
-    std::fs::write(&path, config).unwrap();
-    let mut command = Command::new(env!("CARGO_BIN_EXE_mothspool"));
-    command.env("GW_CONFIG", &path).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+fn rejection(config: &str, admin: Option<&str>) -> String {
+    let path = write_config(config);
+    let mut command = node_command();
+    command.env("GW_CONFIG", &path);
     if let Some(address) = admin {
         command.env("GW_OPERATOR", address);
     }
     let mut child = command.spawn().unwrap();
     let mut log = String::new();
     child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
-    assert!(!child.wait().unwrap().success(), "{name}: {log}");
-    assert_eq!(log.lines().count(), 1, "{name}: {log}");
+    assert!(!child.wait().unwrap().success(), "{log}");
+    assert_eq!(log.lines().count(), 1, "{log}");
     let line = log.trim_end().strip_prefix("mothspool: ").expect(&log);
     line.strip_prefix(&format!("{path}: ")).unwrap_or(line).to_string()
 }
@@ -35,7 +35,7 @@
 fn rejection_with(pointer: &str, value: Value) -> String {
     let mut config = valid();
     *config.pointer_mut(pointer).expect(pointer) = value;
-    rejection(&pointer.replace('/', "-"), &config.to_string(), None)
+    rejection(&config.to_string(), None)
 }
 
 #[test]
@@ -47,9 +47,9 @@
     }
     let mut config = valid();
     config["operator"] = json!("localhost:80");
-    let line = rejection("operator", &config.to_string(), None);
+    let line = rejection(&config.to_string(), None);
     assert!(line.starts_with("operator: \"localhost:80\" is not an IP address with a port: "), "{line}");
-    let line = rejection("variable", &valid().to_string(), Some("nowhere"));
+    let line = rejection(&valid().to_string(), Some("nowhere"));
     assert!(line.starts_with("GW_OPERATOR: \"nowhere\" is not an IP address with a port: "), "{line}");
 }
 
@@ -67,6 +67,8 @@
         ("/seed", json!(7), "seed: invalid type: integer `7`, expected a string"),
         ("/limits/sockets", json!("many"), "limits: sockets: invalid type: string \"many\", expected usize"),
         ("/limits/memory_mb", json!(-1), "limits: memory_mb: invalid value: integer `-1`, expected usize"),
+        ("/limits", json!(4), "limits: invalid type: integer `4`, expected limits"),
+        ("/known", json!(4), "known: invalid type: integer `4`, expected an endpoint list"),
         ("/known/rev", json!("x"), "known: rev: invalid type: string \"x\", expected u64"),
         ("/known/targets/0/state", json!("asleep"), "known: targets: state: unknown variant `asleep`"),
     ];
@@ -82,7 +84,7 @@
     for field in ["name", "listen", "discovery", "settings"] {
         let mut config = valid();
         config.as_object_mut().unwrap().remove(field);
-        let line = rejection(&format!("without-{field}"), &config.to_string(), None);
+        let line = rejection(&config.to_string(), None);
         assert!(line.starts_with(&format!("missing field `{field}` at line 1 column ")), "{line}");
     }
 }
