--- a/src/balancer/interface/settings.rs
+++ b/src/balancer/interface/settings.rs
@@ -141,20 +141,21 @@
     }
 }
 
-/// Why settings were rejected.
+/// Why settings were rejected. Messages name a setting by its path in the deployment's settings, as
+/// [`crate::settings_format`] reads them, since that is where operators have to correct it.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// There is nothing to serve.
-    #[error("settings: there are no request classes: classes is empty")]
+    #[error("settings: there are no request classes: services is empty")]
     NoClasses,
     /// A count that has to be 1 or more.
     #[error("settings: {field} is 0, not at least 1")]
     ZeroCount {
-        /// The setting.
+        /// The path of the setting.
         field: &'static str,
     },
     /// The node's index is not that of one of the nodes.
-    #[error("settings: node_index is {node_index}, not below node_count, which is {node_count}")]
+    #[error("settings: rank is {node_index}, not below balancers, which is {node_count}")]
     NodeIndexOutOfRange {
         /// The index.
         node_index: u32,
@@ -162,12 +163,12 @@
         node_count: u32,
     },
     /// The part of its capacity that an endpoint starts with.
-    #[error("settings: slow_start_from is {0}, not above 0 and at most 1")]
+    #[error("settings: obligations.cold_from is {0}, not above 0 and at most 1")]
     SlowStartFromOutOfRange(f64),
     /// A number that has to be finite and not negative.
     #[error("settings: {field} is {value}, not a finite number of 0 or more")]
     NotNonNegative {
-        /// The setting, with the index of its class or tenant.
+        /// The path of the setting.
         field: String,
         /// Its value.
         value: f64,
@@ -175,7 +176,7 @@
     /// A duration that has to be a microsecond or more.
     #[error("settings: {field} is {value:?}, not at least 1 µs")]
     NoDuration {
-        /// The setting, with the index of its class.
+        /// The path of the setting.
         field: String,
         /// Its value.
         value: Duration,
@@ -194,19 +195,19 @@
         }
         let Settings { node_index, node_count, slow_start_from, .. } = *self;
         if node_count == 0 {
-            return Err(SettingsError::ZeroCount { field: "node_count" });
+            return Err(SettingsError::ZeroCount { field: "balancers" });
         }
         if node_index >= node_count {
             return Err(SettingsError::NodeIndexOutOfRange { node_index, node_count });
         }
         if self.max_attempts == 0 {
-            return Err(SettingsError::ZeroCount { field: "max_attempts" });
+            return Err(SettingsError::ZeroCount { field: "allowed.max_attempts" });
         }
         if !(slow_start_from > 0.0 && slow_start_from <= 1.0) {
             return Err(SettingsError::SlowStartFromOutOfRange(slow_start_from));
         }
-        check_non_negative("overload_multiple", self.overload_multiple)?;
-        check_non_negative("over_quota_weight", self.over_quota_weight)?;
+        check_non_negative("obligations.fall_multiple", self.overload_multiple)?;
+        check_non_negative("over_share_worth", self.over_quota_weight)?;
         self.tenants.iter().enumerate().try_for_each(|(i, tenant)| tenant.check(i))?;
         self.classes.iter().enumerate().try_for_each(|(i, class)| class.check(i))
     }
@@ -214,8 +215,8 @@
 
 impl Tenant {
     fn check(&self, index: usize) -> Result<(), SettingsError> {
-        check_non_negative(&format!("tenants[{index}].quota_per_second"), self.quota_per_second)?;
-        check_non_negative(&format!("tenants[{index}].service_share"), self.service_share)
+        check_non_negative(&format!("parties.{index}.quota_rps"), self.quota_per_second)?;
+        check_non_negative(&format!("parties.{index}.share"), self.service_share)
     }
 }
 
@@ -229,11 +230,11 @@
     }
 
     fn check(&self, index: usize) -> Result<(), SettingsError> {
-        check_duration(&format!("classes[{index}].latency_objective"), self.latency_objective)?;
-        check_duration(&format!("classes[{index}].deadline"), self.deadline)?;
-        check_non_negative(&format!("classes[{index}].priority_weight"), self.priority_weight)?;
-        check_non_negative(&format!("classes[{index}].late_weight"), self.late_weight)?;
-        check_non_negative(&format!("classes[{index}].objective_per_work"), self.objective_per_work)
+        check_duration(&format!("services.{index}.goal_time_us"), self.latency_objective)?;
+        check_duration(&format!("services.{index}.deadline_us"), self.deadline)?;
+        check_non_negative(&format!("services.{index}.points"), self.priority_weight)?;
+        check_non_negative(&format!("services.{index}.late_value"), self.late_weight)?;
+        check_non_negative(&format!("services.{index}.aim_stretch"), self.objective_per_work)
     }
 }
 
--- a/tests/node/configuration_errors.rs
+++ b/tests/node/configuration_errors.rs
@@ -96,3 +96,14 @@
     let line = rejection_with("/settings/services/0/deadline_us", json!("soon"));
     assert!(line.contains("services.0.deadline_us") && line.contains("soon"), "{line}");
 }
+
+#[test]
+fn settings_that_make_no_sense_together_are_logged_with_their_path_and_value() {
+    let mut config = valid();
+    config["settings"]["balancers"] = json!(3);
+    config["settings"]["rank"] = json!(3);
+    let line = rejection(&config.to_string(), None);
+    assert_eq!(line, "settings: rank is 3, not below balancers, which is 3");
+    let line = rejection_with("/settings/services/0/deadline_us", json!(0));
+    assert!(line.starts_with("settings: services.0.goal_time_us is 0ns"), "{line}");
+}
