--- a/tests/node/client_disconnects.rs
+++ b/tests/node/client_disconnects.rs
@@ -2,6 +2,7 @@
 
 use std::io::Write;
 use std::net::TcpListener;
+use std::slice;
 use std::time::Duration;
 
 use socket2::SockRef;
@@ -24,6 +25,9 @@
     drop(client);
 }
 
+/// How many requests an endpoint gets at a node that has learned nothing yet; further ones are queued.
+const INITIAL_CONCURRENCY_LIMIT: usize = 2;
+
 fn listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
@@ -51,19 +55,27 @@
     [head.into_bytes(), vec![b'u'; UNREAD_BODY_BYTES]].concat()
 }
 
+/// A request with a complete body that is too large to buffer.
+fn complete_upload(chunked: bool) -> Vec<u8> {
+    let body = "u".repeat(300_000);
+    let (framing, body) = match chunked {
+        false => (format!("Content-Length: {}", body.len()), body),
+        true => ("Transfer-Encoding: chunked".into(), format!("{:x}\r\n{body}\r\n0\r\n\r\n", body.len())),
+    };
+    let head = format!(
+        "POST /order/7f3a HTTP/1.1\r\nHost: n\r\nReq-Id: 9b1f03bb0000000{}\r\nReq-Owner: acme\r\n\
+         Req-Deadline: 14.0\r\n{framing}\r\n\r\n",
+        u8::from(chunked)
+    );
+    [head, body].concat().into_bytes()
+}
+
 #[test]
 fn a_queued_request_is_dropped_when_its_client_disconnects() {
     let a = listener();
     let node = Node::start(&[listening_endpoint("a", &a, "ready")]);
     Watch::accept(&node.discovery).keep_alive();
-    // As many as the initial concurrency limit of an endpoint: further requests are queued.
-    let mut busy: Vec<(Connection, Connection, Message)> = Vec::new();
-    for _ in 0..2 {
-        let mut client = node.client();
-        client.send(&order_request());
-        let (connection, request) = accept_request(&a);
-        busy.push((client, connection, request));
-    }
+    let mut pending = occupy(&node, slice::from_ref(&a), INITIAL_CONCURRENCY_LIMIT);
     let before = node.open_descriptors();
     for how in ALL_DISCONNECTS {
         for (what, bytes) in trailing_bytes() {
@@ -81,16 +93,12 @@
         wait_until_released(&node, before, &format!("half a body, {how:?}"));
     }
     // With capacity again, the next request is the next one sent, and on these connections.
-    for (client, connection, _) in &mut busy {
-        connection.send(&response(200, "", "slip"));
-        assert_eq!(client.receive().body, b"slip");
-    }
+    pending.iter_mut().for_each(|exchange| exchange.complete("", "slip"));
     pause_before_reuse();
     let mut last = node.client();
     last.send(&request_with_id("9b1f03bb000000ff", "GET", "/view/1", "14.0", "", ""));
-    let (_, connection, _) = &mut busy[1];
-    let request = connection.receive();
-    assert_eq!(request.header("req-id"), Some("9b1f03bb000000ff"));
+    let connection = &mut pending[1].upstream;
+    assert_eq!(connection.receive().header("req-id"), Some("9b1f03bb000000ff"));
     connection.send(&response(200, "", "last"));
     assert_eq!(last.receive().body, b"last");
     a.set_nonblocking(true).unwrap();
@@ -105,28 +113,10 @@
         let a = listener();
         let node = Node::start(&[listening_endpoint("a", &a, "ready")]);
         Watch::accept(&node.discovery).keep_alive();
-        let mut busy: Vec<(Connection, Connection, Message)> = Vec::new();
-        for _ in 0..2 {
-            let mut client = node.client();
-            client.send(&order_request());
-            let (connection, request) = accept_request(&a);
-            busy.push((client, connection, request));
-        }
+        let mut pending = occupy(&node, slice::from_ref(&a), INITIAL_CONCURRENCY_LIMIT);
         let before = node.open_descriptors();
         let mut client = node.client();
-        let body = "u".repeat(300_000);
-        let (length, body) = match chunked {
-            false => (format!("Content-Length: {}\r\n", body.len()), body),
-            true => {
-                ("Transfer-Encoding: chunked\r\n".into(), format!("{:x}\r\n{body}\r\n0\r\n\r\n", body.len()))
-            }
-        };
-        let head = format!(
-            "POST /order/7f3a HTTP/1.1\r\nHost: n\r\nReq-Id: 9b1f03bb0000000{}\r\nReq-Owner: acme\r\n\
-             Req-Deadline: 14.0\r\n{length}\r\n",
-            u8::from(chunked)
-        );
-        client.send(&[head, body].concat().into_bytes());
+        client.send(&complete_upload(chunked));
         wait_for_descriptors(&node, before + 1);
         disconnect(client, Disconnect::Close);
         pause_before_reuse();
@@ -134,10 +124,7 @@
         let id = format!("9b1f03bb000000f{}", u8::from(chunked));
         // Of the same class, so that it is queued behind the other.
         last.send(&request_with_id(&id, "POST", "/order/1", "14.0", "", "yen"));
-        for (client, connection, _) in &mut busy {
-            connection.send(&response(200, "Connection: close\r\n", "slip"));
-            assert_eq!(client.receive().body, b"slip");
-        }
+        pending.iter_mut().for_each(|exchange| exchange.complete("Connection: close\r\n", "slip"));
         // A truncated request is none.
         let (mut connection, request) = loop {
             let mut connection = Connection::from_stream(accept_connection(&a));
@@ -148,7 +135,7 @@
         assert_eq!(request.header("req-id"), Some(&id[..]));
         connection.send(&response(200, "Connection: close\r\n", "last"));
         assert_eq!(last.receive().body, b"last");
-        drop((busy, last));
+        drop((pending, last));
         wait_until_released(&node, before - 4, "the client of the body");
     }
 }
@@ -229,12 +216,7 @@
                     config["settings"]["allowed"]["connect_timeout_us"] = 10_000_000.into();
                 });
                 Watch::accept(&node.discovery).keep_alive();
-                let mut busy: Vec<(Connection, Connection)> = Vec::new();
-                for _ in 0..2 {
-                    let mut client = node.client();
-                    client.send(&order_request());
-                    busy.push((client, accept_request_from_any(&listeners).0));
-                }
+                let mut pending = occupy(&node, &listeners, 2);
                 let before = node.open_descriptors();
                 let mut client = node.client();
                 if exhausted {
@@ -248,10 +230,9 @@
                 pause_before_reuse();
                 disconnect(client, how);
                 wait_until_released(&node, before, &format!("{what}, {how:?}, exhausted {exhausted}"));
-                let (mut client, mut connection) = busy.remove(0);
-                connection.send(&response(200, "Connection: close\r\n", "slip"));
-                assert_eq!(client.receive().body, b"slip");
-                drop((client, connection));
+                let mut first = pending.remove(0);
+                first.complete("Connection: close\r\n", "slip");
+                drop(first);
                 let mut last = node.client();
                 last.send(&request_with_id("9b1f03bb000000ff", "POST", "/order/1", "14.0", "", "yen"));
                 assert_eq!(accept_request_from_any(&listeners).1.header("req-id"), Some("9b1f03bb000000ff"));
--- a/tests/node/connection_setup.rs
+++ b/tests/node/connection_setup.rs
@@ -125,12 +125,7 @@
     for (sockets, exhausted) in [(1024, true), (36, false)] {
         let node = Node::with_sockets(&endpoints, sockets);
         Watch::accept(&node.discovery).keep_alive();
-        let mut busy: Vec<(Connection, Connection)> = Vec::new();
-        for _ in 0..2 {
-            let mut client = node.client();
-            client.send(&order_request());
-            busy.push((client, accept_request_from_any(&listeners).0));
-        }
+        let mut pending = occupy(&node, &listeners, 2);
         let mut waiting = node.client();
         if exhausted {
             assert_eq!(waiting.exchange(HEALTH_REQUEST).status(), 200);
@@ -139,10 +134,9 @@
         waiting.send(&order_request());
         pause_before_reuse();
         assert!(!waiting.has_unread_data(), "{}", waiting.receive().start_line);
-        let (mut client, mut connection) = busy.remove(0);
-        connection.send(&response(200, "Connection: close\r\n", "first"));
-        assert_eq!(client.receive().body, b"first");
-        drop((client, connection));
+        let mut first = pending.remove(0);
+        first.complete("Connection: close\r\n", "first");
+        drop(first);
         accept_request_from_any(&listeners).0.send(&response(200, "", "second"));
         assert_eq!(waiting.receive().body, b"second");
     }
--- a/tests/support/connections.rs
+++ b/tests/support/connections.rs
@@ -63,6 +63,31 @@
     }
 }
 
+/// A request that an endpoint has and has not answered.
+pub struct PendingExchange {
+    pub client: Connection,
+    pub upstream: Connection,
+}
+
+impl PendingExchange {
+    /// Has the endpoint answer with 200, these headers and this body, which the client receives.
+    pub fn complete(&mut self, headers: &str, body: &str) {
+        self.upstream.send(&response(200, headers, body));
+        assert_eq!(self.client.receive().body, body.as_bytes());
+    }
+}
+
+/// Has so many endpoints' slots taken by non-idempotent requests, each from a client of its own.
+pub fn occupy(node: &Node, listeners: &[TcpListener], slots: usize) -> Vec<PendingExchange> {
+    (0..slots)
+        .map(|_| {
+            let mut client = node.client();
+            client.send(&order_request());
+            PendingExchange { client, upstream: accept_request_from_any(listeners).0 }
+        })
+        .collect()
+}
+
 /// The next connection to this listener.
 pub fn accept_connection(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
