--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -101,8 +101,7 @@
 
     /// Passes a list on to the engine.
     fn publish(&mut self, list: &EndpointList, kind: ListKind) {
-        let records = list.records.iter();
-        let endpoints = records.map(|record| (self.converter.endpoint(record), record.address)).collect();
+        let endpoints = list.records.iter().map(|record| self.converter.endpoint(record)).collect();
         self.engine.update_endpoints(kind, endpoints);
     }
 
--- a/src/node/discovery/records.rs
+++ b/src/node/discovery/records.rs
@@ -6,6 +6,7 @@
 
 use crate::config::Config;
 use crate::protocol::endpoint_list::{EndpointRecord, RecordState, endpoint_id};
+use crate::upstream::ListedEndpoint;
 
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1000;
@@ -50,8 +51,8 @@
     }
 
     /// What a record says of its endpoint.
-    pub(super) fn endpoint(&mut self, record: &EndpointRecord) -> EndpointInfo {
-        EndpointInfo {
+    pub(super) fn endpoint(&mut self, record: &EndpointRecord) -> ListedEndpoint {
+        let info = EndpointInfo {
             id: endpoint_id(&record.uid),
             state: match record.state {
                 RecordState::Ready => EndpointState::Ready,
@@ -63,6 +64,7 @@
             cell: record.cell,
             weight: record.weight.max(0.0),
             machine_type: self.machine_types.intern(&record.machine_type),
-        }
+        };
+        ListedEndpoint { info, address: record.address }
     }
 }
--- a/src/node/engine/handle.rs
+++ b/src/node/engine/handle.rs
@@ -1,14 +1,13 @@
 //! The other parts' way to the engine.
 
 use std::cell::Cell;
-use std::net::SocketAddr;
 use std::rc::Rc;
 
-use mothspool::{EndpointId, EndpointInfo, Event, RequestId, Timestamp};
+use mothspool::{EndpointId, Event, RequestId, Timestamp};
 use tokio::sync::mpsc;
 
 use super::event::EngineEvent;
-use crate::upstream::UpstreamPool;
+use crate::upstream::{ListedEndpoint, UpstreamPool};
 
 /// The highest bits of request ids, which stay 0: the balancer's own timer tokens have them set.
 const RESERVED_ID_BITS: u32 = 2;
@@ -46,12 +45,12 @@
     }
 
     /// Applies an endpoint list.
-    pub fn update_endpoints(&self, kind: ListKind, list: Vec<(EndpointInfo, SocketAddr)>) {
+    pub fn update_endpoints(&self, kind: ListKind, list: Vec<ListedEndpoint>) {
         match kind {
             ListKind::Cached | ListKind::Snapshot => self.upstream.apply_snapshot(list.iter().copied()),
             ListKind::Delta => self.upstream.apply_delta(list.iter().copied()),
         }
-        let list = list.into_iter().map(|(endpoint, _)| endpoint).collect();
+        let list = list.into_iter().map(|endpoint| endpoint.info).collect();
         self.send(EngineEvent::Balancer(match kind {
             ListKind::Cached => Event::CachedSnapshot(list),
             ListKind::Snapshot => Event::EndpointSnapshot(list),
--- a/src/node/upstream/endpoints.rs
+++ b/src/node/upstream/endpoints.rs
@@ -8,6 +8,15 @@
 use super::connection::Incarnation;
 use super::idle::IdleConnections;
 
+/// An endpoint as a list names it.
+#[derive(Clone, Copy)]
+pub struct ListedEndpoint {
+    /// What the balancer decides by.
+    pub info: EndpointInfo,
+    /// Where this node reaches it.
+    pub address: SocketAddr,
+}
+
 /// An endpoint that the endpoint list says is ready.
 struct Endpoint {
     incarnation: Incarnation,
@@ -49,26 +58,23 @@
     }
 
     /// Takes in a snapshot of all endpoints: those that it does not name are gone.
-    pub fn apply_snapshot(&mut self, list: impl Iterator<Item = (EndpointInfo, SocketAddr)>) {
+    pub fn apply_snapshot(&mut self, list: impl Iterator<Item = ListedEndpoint>) {
         let unnamed = self.ready.keys().copied().collect();
         self.apply(list, unnamed);
     }
 
     /// Takes in the endpoints that have changed.
-    pub fn apply_delta(&mut self, list: impl Iterator<Item = (EndpointInfo, SocketAddr)>) {
+    pub fn apply_delta(&mut self, list: impl Iterator<Item = ListedEndpoint>) {
         self.apply(list, HashSet::new());
     }
 
     /// Takes in the entries of a list. Of an endpoint that is not ready then nothing is kept, as it is sent
     /// nothing; `unready` are those that are not unless the list says otherwise.
-    fn apply(
-        &mut self,
-        list: impl Iterator<Item = (EndpointInfo, SocketAddr)>,
-        mut unready: HashSet<EndpointId>,
-    ) {
-        for (info, address) in list {
+    fn apply(&mut self, list: impl Iterator<Item = ListedEndpoint>, mut unready: HashSet<EndpointId>) {
+        for endpoint in list {
+            let info = endpoint.info;
             self.known.insert(info.id);
-            self.update(&info, address);
+            self.update(endpoint);
             if info.state == EndpointState::Ready {
                 unready.remove(&info.id);
             } else {
@@ -80,7 +86,7 @@
 
     /// Adds an endpoint, or replaces it if it has moved or restarted: an endpoint that was unreachable and is
     /// back does not know its old connections, and nothing on them would show that.
-    fn update(&mut self, info: &EndpointInfo, address: SocketAddr) {
+    fn update(&mut self, ListedEndpoint { info, address }: ListedEndpoint) {
         let incarnation =
             Incarnation { address, started_at: info.started_at, maintenance_epoch: self.maintenance_epoch };
         let endpoint = self.ready.entry(info.id).or_insert_with(|| Endpoint::new(incarnation));
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -24,6 +24,7 @@
 mod stall;
 
 pub use attempt::AttemptOutcome;
+pub use endpoints::ListedEndpoint;
 pub use pool::{UpstreamPool, max_connections_of};
 pub use request::UpstreamRequest;
 pub use response::StreamingResponse;
--- a/src/node/upstream/pool.rs
+++ b/src/node/upstream/pool.rs
@@ -1,16 +1,15 @@
 //! The pool of connections to all endpoints.
 
 use std::cell::RefCell;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-use mothspool::{EndpointId, EndpointInfo};
+use mothspool::EndpointId;
 use tokio::time::{Instant, sleep};
 
 use super::connect::{ConnectError, Connector};
 use super::connection::{Connection, ConnectionOrigin, Incarnation};
-use super::endpoints::EndpointDirectory;
+use super::endpoints::{EndpointDirectory, ListedEndpoint};
 use super::idle::ReuseLimits;
 use super::idle_timeout::IdleTimeoutPolicy;
 use super::request::UpstreamRequest;
@@ -69,12 +68,12 @@
 
     /// Takes in a snapshot of all endpoints. Idle connections to endpoints that have moved, restarted or are
     /// not ready are closed.
-    pub fn apply_snapshot(&self, list: impl Iterator<Item = (EndpointInfo, SocketAddr)>) {
+    pub fn apply_snapshot(&self, list: impl Iterator<Item = ListedEndpoint>) {
         self.endpoints.borrow_mut().apply_snapshot(list);
     }
 
     /// Takes in the endpoints that have changed, as [`UpstreamPool::apply_snapshot`] does.
-    pub fn apply_delta(&self, list: impl Iterator<Item = (EndpointInfo, SocketAddr)>) {
+    pub fn apply_delta(&self, list: impl Iterator<Item = ListedEndpoint>) {
         self.endpoints.borrow_mut().apply_delta(list);
     }
 
--- a/tests/unit/endpoint_directory.rs
+++ b/tests/unit/endpoint_directory.rs
@@ -8,14 +8,13 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn entry(id: EndpointId, state: EndpointState, port: u16, started_at: u64) -> (EndpointInfo, SocketAddr) {
-    (
-        EndpointInfo { id, state, started_at: Timestamp::from_micros(started_at), ..EndpointInfo::default() },
-        address(port),
-    )
+fn entry(id: EndpointId, state: EndpointState, port: u16, started_at: u64) -> ListedEndpoint {
+    let started_at = Timestamp::from_micros(started_at);
+    let info = EndpointInfo { id, state, started_at, ..EndpointInfo::default() };
+    ListedEndpoint { info, address: address(port) }
 }
 
-fn ready(id: EndpointId, port: u16, started_at: u64) -> (EndpointInfo, SocketAddr) {
+fn ready(id: EndpointId, port: u16, started_at: u64) -> ListedEndpoint {
     entry(id, EndpointState::Ready, port, started_at)
 }
 
