--- a/tests/balancer/concurrency.rs
+++ b/tests/balancer/concurrency.rs
@@ -10,14 +10,14 @@
 #[test]
 fn a_slowdown_of_all_endpoints_does_not_close_them() {
     let mut node = TestNode::new(settings(), endpoints(1..9));
-    let mut out: Vec<(Timestamp, RequestId)> = Vec::new();
+    let mut in_flight: Vec<(Timestamp, RequestId)> = Vec::new();
     let mut sent = [0, 0];
     for step in 0..4_000 {
         let slow = usize::from(step >= 2_000);
         node.now += 5 * MS;
         let mut actions = node.arrive(IDEMPOTENT, Some((step % 4) as u32)).1;
-        let due: Vec<_> = out.iter().filter(|(at, _)| *at <= node.now).map(|(_, id)| *id).collect();
-        out.retain(|(at, _)| *at > node.now);
+        let due: Vec<_> = in_flight.iter().filter(|(at, _)| *at <= node.now).map(|(_, id)| *id).collect();
+        in_flight.retain(|(at, _)| *at > node.now);
         for id in due {
             actions.extend(node.end_attempt(
                 id,
@@ -28,7 +28,7 @@
         }
         for action in actions {
             if let Action::Send { request, .. } = action {
-                out.push((node.now + if slow == 1 { 400 * MS } else { 100 * MS }, request));
+                in_flight.push((node.now + if slow == 1 { 400 * MS } else { 100 * MS }, request));
                 sent[slow] += 1;
             }
         }
@@ -58,36 +58,41 @@
 fn the_limit_does_not_grow_while_endpoints_are_slowed_down() {
     let mut node = TestNode::new(settings(), endpoints(1..9));
     endpoints_reached(&mut node, &[Some(0), Some(1), Some(2), Some(3)]);
-    let (mut out, mut most) = (Vec::<(Timestamp, RequestId)>::new(), [0, 0]);
+    let (mut in_flight, mut peak_in_flight) = (Vec::<(Timestamp, RequestId)>::new(), [0, 0]);
     for step in 0..600 {
         node.now += 5 * MS;
         let mut actions = node.arrive(IDEMPOTENT, Some(step % 4)).1;
         actions.extend(node.arrive(IDEMPOTENT, Some(step % 4)).1);
-        let due: Vec<_> = out.iter().filter(|(at, _)| *at <= node.now).map(|(_, id)| *id).collect();
-        out.retain(|(at, _)| *at > node.now);
+        let due: Vec<_> = in_flight.iter().filter(|(at, _)| *at <= node.now).map(|(_, id)| *id).collect();
+        in_flight.retain(|(at, _)| *at > node.now);
         for id in due {
             actions.extend(node.end_attempt(id, 0, Outcome::Served, 50 * MS));
         }
         for action in actions {
             match action {
-                Action::Send { request, .. } => out.push((node.now + 50 * MS, request)),
+                Action::Send { request, .. } => in_flight.push((node.now + 50 * MS, request)),
                 Action::SetTimer { token, .. } if !matches!(token, TimerToken::Request(_)) => {
                     drop(node.handle(Event::TimerFired(token)));
                 }
                 _ => {}
             }
         }
-        let part = usize::from(step >= 100);
-        most[part] = out.len().max(most[part]);
+        let phase = usize::from(step >= 100);
+        peak_in_flight[phase] = in_flight.len().max(peak_in_flight[phase]);
     }
-    assert!(most[1] <= most[0] * 2, "at most {} in flight at first, then {}", most[0], most[1]);
+    assert!(
+        peak_in_flight[1] <= peak_in_flight[0] * 2,
+        "at most {} in flight at first, then {}",
+        peak_in_flight[0],
+        peak_in_flight[1]
+    );
 }
 
 /// Sends some requests each 2 ms for 2 s to eight endpoints that take one at a time; returns how many are in
 /// flight at the end. With `stops`, no endpoint responds any more in the last 0.6 s.
 fn in_flight_after(each: usize, work: Duration, stops: bool) -> usize {
     let mut node = TestNode::new(Settings { node_count: 1, ..settings() }, endpoints(1..9));
-    let mut out: Vec<(Timestamp, Timestamp, RequestId)> = Vec::new();
+    let mut in_flight: Vec<(Timestamp, Timestamp, RequestId)> = Vec::new();
     let mut free_at = [START; 9];
     for step in 0..1_000 {
         node.now += 2 * MS;
@@ -96,8 +101,8 @@
             actions.extend(node.arrive(IDEMPOTENT, Some(step % 4)).1);
         }
         let due = |o: &(Timestamp, Timestamp, RequestId)| o.0 <= node.now && !(stops && step >= 700);
-        let (back, rest): (Vec<_>, Vec<_>) = out.into_iter().partition(due);
-        out = rest;
+        let (back, rest): (Vec<_>, Vec<_>) = in_flight.into_iter().partition(due);
+        in_flight = rest;
         for (_, sent_at, id) in back {
             actions.extend(node.end_attempt(
                 id,
@@ -108,21 +113,21 @@
         }
         for action in actions {
             if let Action::Send { request, endpoint, .. } = action {
-                let free = &mut free_at[endpoint as usize];
-                *free = node.now.max(*free) + work;
-                out.push((*free, node.now, request));
+                let endpoint_free_at = &mut free_at[endpoint as usize];
+                *endpoint_free_at = node.now.max(*endpoint_free_at) + work;
+                in_flight.push((*endpoint_free_at, node.now, request));
             }
         }
     }
-    out.len()
+    in_flight.len()
 }
 
 /// A node that has just started has seen little, but what it saw at once is its rate: it does not queue
 /// the first seconds' work.
 #[test]
 fn the_limit_fits_soon_after_the_start() {
-    let out = in_flight_after(1, 14 * MS, true);
-    assert!(out > 20, "{out} in flight where the arriving work alone keeps 7 busy");
+    let in_flight = in_flight_after(1, 14 * MS, true);
+    assert!(in_flight > 20, "{in_flight} in flight where the arriving work alone keeps 7 busy");
 }
 
 /// The latency of a class not met yet is a guess: counted for real, the first responses raised the limit
@@ -145,6 +150,6 @@
 /// More than endpoints can do arrives within all quotas: the limit follows what they serve.
 #[test]
 fn a_burst_does_not_overload_the_endpoints() {
-    let out = in_flight_after(4, 10 * MS, false);
-    assert!(out <= 80, "{out} in flight at eight endpoints that take one at a time");
+    let in_flight = in_flight_after(4, 10 * MS, false);
+    assert!(in_flight <= 80, "{in_flight} in flight at eight endpoints that take one at a time");
 }
--- a/tests/balancer/outliers.rs
+++ b/tests/balancer/outliers.rs
@@ -7,42 +7,42 @@
 #[test]
 fn an_endpoint_that_fails_quickly_does_not_win_the_comparisons() {
     let mut node = TestNode::new(settings(), endpoints(1..9));
-    let (mut bad, mut all) = (0, 0);
+    let (mut failing, mut all) = (0, 0);
     for _ in 0..400 {
         node.now += 5 * MS;
         let (id, actions) = node.arrive(NON_IDEMPOTENT, Some(0));
         let to = sends(&actions, id)[0];
         all += 1;
-        bad += u32::from(to % 4 == 1);
+        failing += u32::from(to % 4 == 1);
         node.end_attempt(id, 0, if to % 4 == 1 { Outcome::Error } else { Outcome::Served }, 5 * MS);
     }
-    assert!(bad * 10 < all, "{bad} of {all} went to endpoints that fail");
+    assert!(failing * 10 < all, "{failing} of {all} went to endpoints that fail");
 }
 
 /// Where most endpoints fail, ejecting them would leave the few others to be crowded: then none is ejected.
 #[test]
 fn failing_endpoints_are_ejected_only_while_they_are_at_most_half_of_the_pool() {
-    for (bad, ejected) in [(1, true), (3, false)] {
+    for (failing, ejected) in [(1, true), (3, false)] {
         let (mut node, pool) = pool_of_four();
-        failures_met(&mut node, NON_IDEMPOTENT, &pool[..bad], Outcome::Reset, 100);
-        let later = failures_met(&mut node, NON_IDEMPOTENT, &pool[..bad], Outcome::Reset, 40);
-        assert_eq!(later == 0, ejected, "{bad} of 4 fail");
+        failures_met(&mut node, NON_IDEMPOTENT, &pool[..failing], Outcome::Reset, 100);
+        let later = failures_met(&mut node, NON_IDEMPOTENT, &pool[..failing], Outcome::Reset, 40);
+        assert_eq!(later == 0, ejected, "{failing} of 4 fail");
     }
 }
 
 /// Errors may be about one class: most of a pool may err on it and serve the others well.
 #[test]
 fn endpoints_that_err_on_a_class_are_ejected_for_that_class_alone_however_many_they_are() {
-    for bad in 1..=4 {
+    for failing in 1..=4 {
         let (mut node, pool) = pool_of_four();
-        failures_met(&mut node, NON_IDEMPOTENT, &pool[..bad], Outcome::Error, 100);
-        let seen = failures_met(&mut node, NON_IDEMPOTENT, &pool[..bad], Outcome::Error, 20);
+        failures_met(&mut node, NON_IDEMPOTENT, &pool[..failing], Outcome::Error, 100);
+        let seen = failures_met(&mut node, NON_IDEMPOTENT, &pool[..failing], Outcome::Error, 20);
         assert!(
-            seen <= bad,
-            "{seen} of 20 met one of {bad} endpoints that err: each is tried again now and then"
+            seen <= failing,
+            "{seen} of 20 met one of {failing} endpoints that err: each is tried again now and then"
         );
-        let others = failures_met(&mut node, IDEMPOTENT, &pool[..bad], Outcome::Served, 40);
-        assert!(others > 0, "none of 40 went to the {bad} of 4 endpoints that serve them");
+        let others = failures_met(&mut node, IDEMPOTENT, &pool[..failing], Outcome::Served, 40);
+        assert!(others > 0, "none of 40 went to the {failing} of 4 endpoints that serve them");
     }
 }
 
--- a/tests/balancer/selection.rs
+++ b/tests/balancer/selection.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn a_key_keeps_to_two_endpoints_only_with_key_affinity() {
-    for (key_affinity, few) in [(true, true), (false, false)] {
+    for (key_affinity, keeps_to_two) in [(true, true), (false, false)] {
         let mut node = TestNode::new(Settings { key_affinity, ..settings() }, endpoints(1..11));
         let mut seen = BTreeSet::new();
         for id in 1..=200 {
@@ -24,7 +24,7 @@
             node.now += 10 * MS;
             node.end_attempt(id, 0, Outcome::Served, 10 * MS);
         }
-        assert_eq!(seen.len() <= 2, few, "key affinity {key_affinity}: {seen:?}");
+        assert_eq!(seen.len() <= 2, keeps_to_two, "key affinity {key_affinity}: {seen:?}");
     }
 }
 
@@ -37,18 +37,18 @@
     let stated = settings_format::parse_settings(b"zone=0\nprices.cross_zone=0.01\n").unwrap();
     let Settings { classes, tenants, .. } = settings();
     let mut node = TestNode::new(Settings { classes, tenants, ..stated }, list);
-    let mut out = std::collections::VecDeque::new();
-    let mut near = 0;
+    let mut in_flight = std::collections::VecDeque::new();
+    let mut to_first_zone = 0;
     for _ in 0..200 {
         let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
-        near += usize::from(sends(&actions, id)[0].is_multiple_of(2));
-        out.push_back(id);
-        if out.len() > 3 {
+        to_first_zone += usize::from(sends(&actions, id)[0].is_multiple_of(2));
+        in_flight.push_back(id);
+        if in_flight.len() > 3 {
             node.now += 10 * MS;
-            node.end_attempt(out.pop_front().unwrap(), 0, Outcome::Served, 10 * MS);
+            node.end_attempt(in_flight.pop_front().unwrap(), 0, Outcome::Served, 10 * MS);
         }
     }
-    assert!((50..150).contains(&near), "{near} of 200 went to one of two zones");
+    assert!((50..150).contains(&to_first_zone), "{to_first_zone} of 200 went to one of two zones");
 }
 
 #[test]
