--- a/src/node/downstream/mod.rs
+++ b/src/node/downstream/mod.rs
@@ -5,7 +5,6 @@
 //! [`handler`]: [`health`] checks are answered at once, all others are validated by [`request`] and handed to
 //! the engine by [`exchange`].
 
-mod client_connections;
 mod connection;
 mod connections;
 mod error;
--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -12,7 +12,7 @@
 use crate::downstream::handler::RequestHandler;
 use crate::downstream::service::ConnectionService;
 use crate::engine::EngineHandle;
-use crate::lifecycle::Lifecycle;
+use crate::lifecycle::{ClientConnections, Lifecycle};
 use crate::upstream::{UpstreamPool, max_connections_of};
 
 /// How often connections are checked for those that are idle for too long or stuck.
@@ -72,20 +72,6 @@
         &self.service
     }
 
-    /// Goes by half of the node's descriptors while another process of the node runs, by all of them
-    /// otherwise.
-    pub fn share_descriptors(&self, shared: bool) {
-        let limits = &self.config.limits;
-        let descriptors = if shared { limits.max_connections_shared } else { limits.max_connections };
-        self.upstream.set_max_connections(max_connections_of(descriptors));
-        self.connections.set_limits(ConnectionLimits::new(descriptors, self.upstream.max_connections()));
-    }
-
-    /// Whether there are more connections than allowed, those that are closing included.
-    pub fn exceeds_limit(&self) -> bool {
-        self.connections.exceeds_limit()
-    }
-
     /// Closes connections while the node is in standby, each once it has been idle for a while. Those in use
     /// close with their responses.
     pub async fn run_standby_drain(&self) {
@@ -106,9 +92,21 @@
             self.connections.cut_stuck();
         }
     }
+}
+
+impl ClientConnections for DownstreamServer {
+    fn share_descriptors(&self, shared: bool) {
+        let limits = &self.config.limits;
+        let descriptors = if shared { limits.max_connections_shared } else { limits.max_connections };
+        self.upstream.set_max_connections(max_connections_of(descriptors));
+        self.connections.set_limits(ConnectionLimits::new(descriptors, self.upstream.max_connections()));
+    }
+
+    fn exceeds_limit(&self) -> bool {
+        self.connections.exceeds_limit()
+    }
 
-    /// Closes connections as soon as they have no request open, and waits until there are none.
-    pub async fn drain(&self) {
+    async fn drain(&self) {
         while !self.connections.is_empty() {
             self.connections.close_idle(Duration::ZERO);
             self.connections.wait_for_removal(DRAIN_INTERVAL).await;
