--- a/src/node/body/outbound.rs
+++ b/src/node/body/outbound.rs
@@ -10,6 +10,11 @@
 
 use crate::body::request::{RequestBody, StreamingRequestBody, UploadProgress};
 
+/// Takes what is left of a buffered body as one frame; `None` if nothing is.
+pub fn take_frame(bytes: &mut Bytes) -> Option<Frame<Bytes>> {
+    (!bytes.is_empty()).then(|| Frame::data(std::mem::take(bytes)))
+}
+
 /// A [`RequestBody`] as hyper sends it in one attempt.
 pub enum OutboundBody {
     /// What is still to be sent of a buffered body.
@@ -36,8 +41,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match self.get_mut() {
-            OutboundBody::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
-            OutboundBody::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            OutboundBody::Buffered(bytes) => Poll::Ready(take_frame(bytes).map(Ok)),
             OutboundBody::Streamed(stream) => {
                 let piece = ready!(stream.poll_data(cx));
                 Poll::Ready(piece.map(|data| data.map(Frame::data).map_err(io::Error::other)))
--- a/src/node/body/response.rs
+++ b/src/node/body/response.rs
@@ -13,6 +13,7 @@
 
 use crate::body::budget::{BodyBuffer, BufferBudget, BufferReservation, BufferedPrefix};
 use crate::body::incoming::{IncomingBody, ReceiveError};
+use crate::body::outbound::take_frame;
 
 /// How long an endpoint may pause in a response that has begun to pass through to its client. It is long
 /// because to fail such a response helps nobody but the next request in the queue.
@@ -177,8 +178,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match &mut self.get_mut().content {
-            Content::Buffered { bytes, .. } if bytes.is_empty() => Poll::Ready(None),
-            Content::Buffered { bytes, .. } => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            Content::Buffered { bytes, .. } => Poll::Ready(take_frame(bytes).map(Ok)),
             Content::Streaming(body) => {
                 let piece = ready!(body.poll_data(cx));
                 Poll::Ready(piece.map(|data| data.map(Frame::data).map_err(io::Error::other)))
