--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -96,7 +96,9 @@
             return false;
         }
         self.queues[request.pool].push(request.entry);
-        self.requests.entry(id).and_modify(|request| request.queued = true);
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.queued = true;
+        }
         self.schedule(id);
         true
     }
--- a/src/balancer/reevaluation.rs
+++ b/src/balancer/reevaluation.rs
@@ -23,7 +23,9 @@
         if request.timer_at <= self.now || next < request.timer_at {
             let after = next.saturating_duration_since(self.now);
             self.actions.push(Action::SetTimer { after, token: TimerToken::Request(id) });
-            self.requests.entry(id).and_modify(|request| request.timer_at = next);
+            if let Some(request) = self.requests.get_mut(&id) {
+                request.timer_at = next;
+            }
         }
     }
 
--- a/src/node/upstream/connect.rs
+++ b/src/node/upstream/connect.rs
@@ -79,9 +79,9 @@
         request: &UpstreamRequest,
         evict_idle: impl Fn(),
     ) -> Result<UpstreamSocket, ConnectError> {
-        let give_up_at = Instant::now() + self.connect_timeout;
+        let deadline = Instant::now() + self.connect_timeout;
         loop {
-            let permit = timeout_at(give_up_at, self.acquire_permit(&evict_idle)).await;
+            let permit = timeout_at(deadline, self.acquire_permit(&evict_idle)).await;
             let permit = permit.map_err(|_| ConnectError::NoCapacity)?;
             // The permit may be free because the client of this request has disconnected.
             if !request.may_begin() {
@@ -95,7 +95,7 @@
                 Ok(Err(error)) if is_descriptor_limit(&error) => {}
                 _ => return Err(ConnectError::Unreachable),
             }
-            if Instant::now() >= give_up_at {
+            if Instant::now() >= deadline {
                 return Err(ConnectError::NoCapacity);
             }
             drop(permit);
--- a/src/node/upstream/connection.rs
+++ b/src/node/upstream/connection.rs
@@ -24,7 +24,7 @@
 pub struct Incarnation {
     /// Where the endpoint accepts connections.
     pub address: SocketAddr,
-    /// When its process started, as the endpoint list states it (Unix microseconds).
+    /// When its process started, as the endpoint list states it.
     pub started_at: Timestamp,
     /// How many times, over all endpoints, maintenance had ended when this incarnation began.
     pub maintenance_epoch: u64,
