--- a/tests/node/configuration.rs
+++ b/tests/node/configuration.rs
@@ -1,7 +1,5 @@
 //! Configuration files.
 
-use std::io::Read;
-
 use serde_json::json;
 
 use crate::support::*;
@@ -34,16 +32,13 @@
 fn an_invalid_configuration_logs_one_line_and_exits() {
     let without_path = || node_command().env_remove("GW_CONFIG").spawn().unwrap();
     let missing_file = || node_command().env("GW_CONFIG", "/nowhere/config.json").spawn().unwrap();
-    for mut child in [
+    for child in [
         without_path(),
         missing_file(),
         spawn_with_config(""),
         spawn_with_config("{}"),
         spawn_with_config("{\"name\": 3}"),
     ] {
-        let mut log = String::new();
-        child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
-        assert_eq!(log.lines().count(), 1, "{log}");
-        assert!(!child.wait().unwrap().success());
+        failed_start(child);
     }
 }
--- a/tests/node/configuration_errors.rs
+++ b/tests/node/configuration_errors.rs
@@ -1,7 +1,5 @@
 //! What the node says of a configuration that it can't use.
 
-use std::io::Read;
-
 use serde_json::{Value, json};
 
 use crate::support::*;
@@ -22,13 +20,8 @@
     if let Some(address) = admin {
         command.env("GW_OPERATOR", address);
     }
-    let mut child = command.spawn().unwrap();
-    let mut log = String::new();
-    child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
-    assert!(!child.wait().unwrap().success(), "{log}");
-    assert_eq!(log.lines().count(), 1, "{log}");
-    let line = log.trim_end().strip_prefix("mothspool: ").expect(&log);
-    line.strip_prefix(&format!("{path}: ")).unwrap_or(line).to_string()
+    let line = failed_start(command.spawn().unwrap());
+    line.strip_prefix(&format!("{path}: ")).unwrap_or(&line).to_string()
 }
 
 /// What is logged of the valid configuration with this value at a JSON pointer.
--- a/tests/node/hot_restart.rs
+++ b/tests/node/hot_restart.rs
@@ -1,6 +1,5 @@
 //! Two processes of a node on one inherited listener.
 
-use std::io::Read;
 use std::net::{TcpListener, TcpStream};
 use std::process::Command;
 use std::time::Duration;
@@ -150,12 +149,10 @@
         named(command_with_inherited_socket(&listener), ""),
     ];
     for mut command in invalid {
-        let mut child =
+        let child =
             command.env("GW_CONFIG", write_config(&config)).env("TMPDIR", &state_dir).spawn().unwrap();
-        let mut log = String::new();
-        child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
-        assert!(log.starts_with("mothspool: GW_PASSED_SOCKET") && log.lines().count() == 1, "{log}");
-        assert!(!child.wait().unwrap().success());
+        let line = failed_start(child);
+        assert!(line.starts_with("GW_PASSED_SOCKET"), "{line}");
     }
     assert_eq!((old.health(), old.client().exchange(&view_request()).status()), (200, 200));
 }
--- a/tests/support/command.rs
+++ b/tests/support/command.rs
@@ -1,5 +1,6 @@
 //! The program under test, its configuration and its state directory.
 
+use std::io::Read;
 use std::os::fd::AsFd;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -42,6 +43,16 @@
     shell
 }
 
+/// What a process that can't start logs: one line, here without the program's name. Its exit status is 1.
+pub fn failed_start(mut child: Child) -> String {
+    let mut log = String::new();
+    child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
+    assert_eq!(child.wait().unwrap().code(), Some(1), "{log}");
+    let line = log.strip_prefix("mothspool: ").and_then(|line| line.strip_suffix('\n')).expect(&log);
+    assert_eq!(line.lines().count(), 1, "{log}");
+    line.to_string()
+}
+
 /// A directory of its own for the state file.
 pub fn state_dir() -> PathBuf {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
