--- a/src/lib.rs
+++ b/src/lib.rs
@@ -48,6 +48,7 @@
 #![warn(missing_docs)]
 
 pub mod balancer;
+pub mod settings_format;
 pub mod simulator;
 
 pub use balancer::*;
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -6,7 +6,7 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-use mothspool::simulator::codec::parse_settings;
+use mothspool::settings_format::parse_settings;
 use mothspool::{Idempotency, Settings};
 use serde::Deserialize;
 use serde_json::Value;
--- /dev/null
+++ b/src/simulator/decode.rs
@@ -0,0 +1,280 @@
+//! Decoding of batches: records, and the numbered endpoint lists that they refer to.
+
+use std::time::Duration;
+
+use crate::balancer::{
+    AttemptResult, EndpointId, EndpointInfo, EndpointState, Event, Outcome, Request, Settings, Timestamp,
+};
+use crate::settings_format::parse_settings;
+use crate::simulator::codes::{
+    CATALOG_COUNT, COST_HINT_VALID, ENTRY_BYTES, discovery, event as code, stage_state, status,
+};
+use crate::simulator::error::WireError;
+
+/// One record of a batch, with list numbers resolved.
+#[derive(Debug, PartialEq)]
+pub enum Record {
+    /// The records that follow are for this instance.
+    Node(u16),
+    /// The instance starts, with this seed and these settings and nothing else.
+    Launch(u64, Box<Settings>),
+    /// The instance is killed.
+    Crash,
+    /// An event for the instance's balancer.
+    Event(Event),
+}
+
+/// A decoded batch.
+#[derive(Debug, PartialEq)]
+pub struct Batch {
+    /// The batch's clock.
+    pub now: Timestamp,
+    /// The batch's number.
+    pub number: u32,
+    /// Its records, in order.
+    pub records: Vec<Record>,
+}
+
+/// Decodes batches, and keeps the numbered endpoint lists between them.
+#[derive(Default)]
+pub struct Decoder {
+    lists: [Vec<EndpointInfo>; CATALOG_COUNT],
+}
+
+impl Decoder {
+    /// Decodes a batch: all of a frame after its length.
+    pub fn batch(&mut self, frame: &[u8]) -> Result<Batch, WireError> {
+        let mut fields = FieldReader(frame);
+        let now = fields.timestamp("clock")?;
+        let number = fields.u32("batch number")?;
+        let mut records = Vec::new();
+        while !fields.is_empty() {
+            records.extend(self.record(&mut fields)?);
+        }
+        Ok(Batch { now, number, records })
+    }
+
+    /// Decodes one record; none for those that carry nothing that a balancer acts on.
+    fn record(&mut self, fields: &mut FieldReader<'_>) -> Result<Option<Record>, WireError> {
+        let event = match fields.u16("record code")? {
+            code::LAUNCH => return launch(fields).map(Some),
+            code::INSTANCE => return Ok(Some(Record::Node(fields.u16("Instance.node")?))),
+            code::CRASH_NOW => return Ok(Some(Record::Crash)),
+            code::CATALOG => return self.catalog(fields).map(|()| None),
+            code::PING_RESULT => return skip_ping_result(fields).map(|()| None),
+            code::PEER => return skip_peer(fields).map(|()| None),
+            code::DISCOVERY => self.discovery(fields)?,
+            code::INCOMING => incoming(fields)?,
+            code::STARTED => started(fields)?,
+            code::COMPLETED => completed(fields)?,
+            code::VANISHED => Event::ClientDisconnected(fields.u64("Vanished.ref")?),
+            code::WAKEUP => Event::TimerFired(fields.u64("Wakeup.nonce")?),
+            code => return Err(WireError::UnknownCode { field: "record code", code }),
+        };
+        Ok(Some(Record::Event(event)))
+    }
+
+    /// A new list under its number.
+    fn catalog(&mut self, fields: &mut FieldReader<'_>) -> Result<(), WireError> {
+        let number = usize::from(fields.u8("Catalog.set_id")?);
+        let list = endpoint_list(fields)?;
+        let bound = self.lists.len();
+        *self.lists.get_mut(number).ok_or(WireError::ListNumber { number, bound })? = list;
+        Ok(())
+    }
+
+    fn discovery(&self, fields: &mut FieldReader<'_>) -> Result<Event, WireError> {
+        let kind = fields.u8("Discovery.how")?;
+        let _version = fields.u64("Discovery.stamp")?;
+        let number = usize::from(fields.u8("Discovery.set_id")?);
+        if kind == discovery::FAILED {
+            return Ok(Event::DiscoveryFailed);
+        }
+        let bound = self.lists.len();
+        let list = self.lists.get(number).cloned().ok_or(WireError::ListNumber { number, bound })?;
+        match kind {
+            discovery::DELTA => Ok(Event::EndpointDelta(list)),
+            discovery::FULL => Ok(Event::EndpointSnapshot(list)),
+            discovery::CACHED => Ok(Event::CachedSnapshot(list)),
+            other => Err(WireError::UnknownCode { field: "kind of endpoint list", code: other.into() }),
+        }
+    }
+}
+
+fn launch(fields: &mut FieldReader<'_>) -> Result<Record, WireError> {
+    let seed = fields.u64("Launch.init_seed")?;
+    let length = fields.u32("Launch.options length")? as usize;
+    let settings = parse_settings(fields.bytes("Launch.options", length)?)?;
+    Ok(Record::Launch(seed, Box::new(settings)))
+}
+
+fn incoming(fields: &mut FieldReader<'_>) -> Result<Event, WireError> {
+    let id = fields.u64("Incoming.ref")?;
+    let class = usize::from(fields.u8("Incoming.lane")?);
+    let remaining = fields.duration("Incoming.remaining_us")?;
+    let work = fields.duration("Incoming.size_hint_us")?;
+    let key = fields.u64("Incoming.key")?;
+    let state_bits = fields.u8("Incoming.state_bits")?;
+    let tenant = fields.u32("Incoming.client_group")?;
+    Ok(Event::RequestArrived(Request {
+        id,
+        class,
+        remaining,
+        expected_work: (state_bits & COST_HINT_VALID != 0).then_some(work),
+        key: (key != 0).then_some(key),
+        tenant: Some(tenant),
+    }))
+}
+
+fn started(fields: &mut FieldReader<'_>) -> Result<Event, WireError> {
+    let request = fields.u64("Started.ref")?;
+    let _endpoint = fields.endpoint("Started.server")?;
+    let attempt = fields.u16("Started.leg")?;
+    let _elapsed = fields.duration("Started.wait_time_us")?;
+    Ok(Event::ResponseStarted(request, attempt))
+}
+
+fn completed(fields: &mut FieldReader<'_>) -> Result<Event, WireError> {
+    let request = fields.u64("Completed.ref")?;
+    let attempt = fields.u16("Completed.leg")?;
+    let request_finished = fields.u8("Completed.ended")? != 0;
+    let outcome = outcome(fields.u8("Completed.status")?)?;
+    let elapsed = fields.duration("Completed.wait_time_us")?;
+    let _endpoint = fields.endpoint("Completed.server")?;
+    fields.skip_load_report("Completed.feedback")?;
+    Ok(Event::AttemptEnded(AttemptResult { request, attempt, outcome, elapsed, request_finished }))
+}
+
+/// Balancers send no probes.
+fn skip_ping_result(fields: &mut FieldReader<'_>) -> Result<(), WireError> {
+    fields.duration("PingResult.wait_time_us")?;
+    fields.endpoint("PingResult.server")?;
+    fields.u8("PingResult.status")?;
+    fields.skip_load_report("PingResult.feedback")
+}
+
+/// Balancers send each other nothing.
+fn skip_peer(fields: &mut FieldReader<'_>) -> Result<(), WireError> {
+    fields.u32("Peer.sender")?;
+    let length = usize::from(fields.u16("Peer.blob length")?);
+    fields.bytes("Peer.blob", length).map(drop)
+}
+
+fn endpoint_list(fields: &mut FieldReader<'_>) -> Result<Vec<EndpointInfo>, WireError> {
+    let count = fields.u32("Catalog.records count")? as usize;
+    let length = count.checked_mul(ENTRY_BYTES).ok_or(WireError::ListTooLong { count })?;
+    let mut entries = FieldReader(fields.bytes("Catalog.records", length)?);
+    let mut list = Vec::with_capacity(count);
+    while !entries.is_empty() {
+        list.push(list_entry(&mut entries)?);
+    }
+    Ok(list)
+}
+
+fn list_entry(fields: &mut FieldReader<'_>) -> Result<EndpointInfo, WireError> {
+    let state = endpoint_state(fields.u8("stage_state")?)?;
+    let started_at = fields.timestamp("ready_at_us")?;
+    let zone = fields.u8("hall")?;
+    let id = fields.endpoint("server")?;
+    let cell = Some(fields.u16("cell")?);
+    let weight = endpoint_weight(fields.f32("nominal")?);
+    let machine_type = fields.u8("shape")?;
+    Ok(EndpointInfo { id, state, started_at, zone, cell, weight, machine_type })
+}
+
+fn endpoint_state(code: u8) -> Result<EndpointState, WireError> {
+    match code {
+        stage_state::GONE => Ok(EndpointState::Gone),
+        stage_state::DRAINING => Ok(EndpointState::Draining),
+        stage_state::READY => Ok(EndpointState::Ready),
+        other => Err(WireError::UnknownCode { field: "endpoint state", code: other.into() }),
+    }
+}
+
+/// A weight that is infinite or not a number counts as unknown (zero), lest it spoils averages over endpoints.
+fn endpoint_weight(nominal: f32) -> f64 {
+    match nominal.is_finite() {
+        true => f64::from(nominal.max(0.0)),
+        false => 0.0,
+    }
+}
+
+fn outcome(code: u8) -> Result<Outcome, WireError> {
+    match code {
+        status::OK => Ok(Outcome::Served),
+        status::ERROR => Ok(Outcome::Error),
+        status::FULL => Ok(Outcome::Rejected),
+        status::RESET => Ok(Outcome::Reset),
+        status::TIMEOUT => Ok(Outcome::TimedOut),
+        status::CONNECT_FAILED => Ok(Outcome::ConnectFailed),
+        status::MOOT => Ok(Outcome::NotSent),
+        status::CANCELLED => Ok(Outcome::Cancelled),
+        other => Err(WireError::UnknownCode { field: "outcome", code: other.into() }),
+    }
+}
+
+/// Reads fields off the front of a slice, little-endian unless said otherwise. Errors name the field.
+struct FieldReader<'a>(&'a [u8]);
+
+impl<'a> FieldReader<'a> {
+    fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    fn bytes(&mut self, field: &'static str, length: usize) -> Result<&'a [u8], WireError> {
+        let Some((head, rest)) = self.0.split_at_checked(length) else {
+            return Err(WireError::TruncatedField { field, announced: length, left: self.0.len() });
+        };
+        self.0 = rest;
+        Ok(head)
+    }
+
+    fn array<const N: usize>(&mut self, field: &'static str) -> Result<[u8; N], WireError> {
+        let mut array = [0; N];
+        array.copy_from_slice(self.bytes(field, N)?);
+        Ok(array)
+    }
+
+    fn u8(&mut self, field: &'static str) -> Result<u8, WireError> {
+        self.array(field).map(u8::from_le_bytes)
+    }
+
+    fn u16(&mut self, field: &'static str) -> Result<u16, WireError> {
+        self.array(field).map(u16::from_le_bytes)
+    }
+
+    fn u32(&mut self, field: &'static str) -> Result<u32, WireError> {
+        self.array(field).map(u32::from_le_bytes)
+    }
+
+    fn u64(&mut self, field: &'static str) -> Result<u64, WireError> {
+        self.array(field).map(u64::from_le_bytes)
+    }
+
+    fn f32(&mut self, field: &'static str) -> Result<f32, WireError> {
+        self.array(field).map(f32::from_le_bytes)
+    }
+
+    /// Microseconds in 32 bits.
+    fn duration(&mut self, field: &'static str) -> Result<Duration, WireError> {
+        self.u32(field).map(|micros| Duration::from_micros(micros.into()))
+    }
+
+    /// Microseconds on the simulator's clock in 64 bits.
+    fn timestamp(&mut self, field: &'static str) -> Result<Timestamp, WireError> {
+        self.u64(field).map(Timestamp::from_micros)
+    }
+
+    /// Four bytes of address, first byte first, and a port.
+    fn endpoint(&mut self, field: &'static str) -> Result<EndpointId, WireError> {
+        let address = u32::from_be_bytes(self.array(field)?);
+        let port = self.u16(field)?;
+        Ok(u64::from(address) << 16 | u64::from(port))
+    }
+
+    /// A count and so many `f32`. Balancers go by what they observe themselves.
+    fn skip_load_report(&mut self, field: &'static str) -> Result<(), WireError> {
+        let values = usize::from(self.u8(field)?);
+        self.bytes(field, values * size_of::<f32>()).map(drop)
+    }
+}
--- /dev/null
+++ b/src/simulator/encode.rs
@@ -0,0 +1,119 @@
+//! Encoding of replies: the actions of a batch as one frame.
+
+use std::time::Duration;
+
+use crate::balancer::{Action, AttemptNumber, EndpointId, RequestId};
+use crate::simulator::codes::{NO_TIMEOUT, OBSERVE_ACTIVE, action as code};
+
+/// Collects the actions of a reply.
+#[derive(Default)]
+pub struct Reply {
+    record_count: u32,
+    /// The records, without the frame's header.
+    records: Vec<u8>,
+    /// The instance whose actions come last.
+    current: Option<u16>,
+}
+
+impl Reply {
+    /// Removes all actions, for the next batch.
+    pub fn clear(&mut self) {
+        self.record_count = 0;
+        self.records.clear();
+        self.current = None;
+    }
+
+    /// Adds an action of an instance.
+    pub fn push(&mut self, instance: u16, action: Action) {
+        if self.current != Some(instance) {
+            self.current = Some(instance);
+            self.record(code::FROM).u16(instance);
+        }
+        match action {
+            // On the wire an attempt counts as sent at once, however late its connection is established.
+            Action::Send { request, endpoint, begin_by: _ } => self.route(request, endpoint),
+            Action::Reject { request, retry_after } => self.deny(request, retry_after),
+            Action::Fail(request) => {
+                self.record(code::ERROR).u64(request);
+            }
+            Action::Cancel(request, attempt) => self.revoke(request, attempt),
+            Action::SetTimer { after, token } => self.schedule(after, token),
+            Action::Subscribe => {
+                self.record(code::OBSERVE).u8(OBSERVE_ACTIVE);
+            }
+        }
+    }
+
+    fn route(&mut self, request: RequestId, endpoint: EndpointId) {
+        self.record(code::ROUTE).u64(request).endpoint(endpoint).u32(NO_TIMEOUT);
+    }
+
+    fn deny(&mut self, request: RequestId, retry_after: Duration) {
+        self.record(code::DENY).u64(request).duration(retry_after);
+    }
+
+    fn revoke(&mut self, request: RequestId, attempt: AttemptNumber) {
+        self.record(code::REVOKE).u64(request).u16(attempt);
+    }
+
+    fn schedule(&mut self, after: Duration, token: u64) {
+        self.record(code::SCHEDULE).duration(after).u64(token);
+    }
+
+    /// Begins a record of this code; its fields follow.
+    fn record(&mut self, code: u16) -> FieldWriter<'_> {
+        self.record_count += 1;
+        let mut fields = FieldWriter(&mut self.records);
+        fields.u16(code);
+        fields
+    }
+
+    /// The frame of the reply to the batch of this number.
+    pub fn frame(&self, batch: u32) -> Vec<u8> {
+        const BATCH_BYTES: u32 = 4;
+        const HEADER_BYTES: usize = 12;
+        let mut frame = Vec::with_capacity(HEADER_BYTES + self.records.len());
+        frame.extend(self.record_count.to_le_bytes());
+        frame.extend((self.records.len() as u32 + BATCH_BYTES).to_le_bytes());
+        frame.extend(batch.to_le_bytes());
+        frame.extend(&self.records);
+        frame
+    }
+}
+
+/// Appends fields to records, little-endian unless said otherwise.
+struct FieldWriter<'a>(&'a mut Vec<u8>);
+
+impl FieldWriter<'_> {
+    fn u8(&mut self, value: u8) -> &mut Self {
+        self.0.push(value);
+        self
+    }
+
+    fn u16(&mut self, value: u16) -> &mut Self {
+        self.0.extend(value.to_le_bytes());
+        self
+    }
+
+    fn u32(&mut self, value: u32) -> &mut Self {
+        self.0.extend(value.to_le_bytes());
+        self
+    }
+
+    fn u64(&mut self, value: u64) -> &mut Self {
+        self.0.extend(value.to_le_bytes());
+        self
+    }
+
+    /// Microseconds, cut off at 71 minutes, the most that the field holds.
+    fn duration(&mut self, value: Duration) -> &mut Self {
+        self.u32(u32::try_from(value.as_micros()).unwrap_or(u32::MAX))
+    }
+
+    /// Four bytes of address, first byte first, and a port.
+    fn endpoint(&mut self, id: EndpointId) -> &mut Self {
+        let (address, port) = ((id >> 16) as u32, id as u16);
+        self.0.extend(address.to_be_bytes());
+        self.u16(port)
+    }
+}
--- /dev/null
+++ b/src/simulator/host.rs
@@ -0,0 +1,77 @@
+//! Hosts many balancers, one for each instance of the simulator.
+
+use std::collections::BTreeMap;
+use std::io::{Read, Write};
+
+use crate::balancer::{Action, Balancer, Event, Settings, Timestamp};
+use crate::simulator::decode::{Decoder, Record};
+use crate::simulator::encode::Reply;
+use crate::simulator::error::HostError;
+use crate::simulator::frames::read_frame;
+
+/// Replies to each batch of the input until it ends.
+pub fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), HostError> {
+    let mut host = Host::default();
+    let mut frame = Vec::new();
+    while read_frame(&mut input, &mut frame)? {
+        output.write_all(&host.handle_batch(&frame)?)?;
+        output.flush()?;
+    }
+    Ok(())
+}
+
+/// A running instance.
+struct Instance {
+    balancer: Balancer,
+    /// Whether the site has tenants: without any, the tenant of a request has no meaning.
+    has_tenants: bool,
+}
+
+/// The instances of a process, by their numbers.
+#[derive(Default)]
+pub struct Host {
+    decoder: Decoder,
+    instances: BTreeMap<u16, Instance>,
+    reply: Reply,
+    /// The actions of the event at hand; empty between events.
+    actions: Vec<Action>,
+}
+
+impl Host {
+    /// Carries out a batch (all of a frame after its length); its reply as a frame.
+    pub fn handle_batch(&mut self, frame: &[u8]) -> Result<Vec<u8>, HostError> {
+        let batch = self.decoder.batch(frame)?;
+        self.reply.clear();
+        let mut current = 0;
+        for record in batch.records {
+            match record {
+                Record::Node(number) => current = number,
+                Record::Launch(seed, settings) => self.launch(current, seed, *settings)?,
+                Record::Crash => drop(self.instances.remove(&current)),
+                Record::Event(event) => self.handle_event(current, batch.now, event),
+            }
+        }
+        Ok(self.reply.frame(batch.number))
+    }
+
+    fn launch(&mut self, number: u16, seed: u64, settings: Settings) -> Result<(), HostError> {
+        let has_tenants = !settings.tenants.is_empty();
+        let balancer = Balancer::new(settings, seed)?;
+        self.instances.insert(number, Instance { balancer, has_tenants });
+        Ok(())
+    }
+
+    /// Passes an event to its instance, if that runs, and its actions to the reply.
+    fn handle_event(&mut self, number: u16, now: Timestamp, mut event: Event) {
+        let Some(instance) = self.instances.get_mut(&number) else {
+            return;
+        };
+        if let Event::RequestArrived(request) = &mut event {
+            request.tenant = request.tenant.filter(|_| instance.has_tenants);
+        }
+        instance.balancer.handle(now, event, &mut self.actions);
+        for action in self.actions.drain(..) {
+            self.reply.push(number, action);
+        }
+    }
+}
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,3 +1,10 @@
-//! The protocol of the simulator, spoken by the program `mothspool-simulator`.
+//! The simulator's wire, and the host of many balancers behind it: the program `mothspool-simulator`.
+//!
+//! The wire is described in `../given/docs/WIRE-mothspool.md`. Nothing is decided here.
 
-pub mod codec;
+mod codes;
+pub mod decode;
+pub mod encode;
+pub mod error;
+pub mod frames;
+pub mod host;
