--- a/src/node/admin/commands.rs
+++ b/src/node/admin/commands.rs
@@ -114,7 +114,8 @@
         }
     }
 
-    /// The command of a request for this route with this body. Only commands about an endpoint look at the body.
+    /// The command of a request for this route with this body. Only commands about an endpoint look at the
+    /// body.
     pub fn command(self, body: &[u8]) -> Result<Command, CommandError> {
         Ok(match self {
             Route::Status => Command::Status,
--- a/src/node/admin/mod.rs
+++ b/src/node/admin/mod.rs
@@ -1,7 +1,8 @@
-//! The admin API: operators' commands over HTTP on the node's second address, one a connection, answered whatever the
-//! load of clients is.
+//! The admin API: operators' commands over HTTP on the node's second address, one a connection, answered
+//! whatever the load of clients is.
 //!
-//! The listener accepts callers, reads a command from each, has the service carry it out and writes the response.
+//! The listener accepts callers, reads a command from each, has the service carry it out and writes the
+//! response.
 
 mod commands;
 mod listener;
--- a/src/node/body/budget.rs
+++ b/src/node/body/budget.rs
@@ -25,8 +25,8 @@
         Rc::new(BufferBudget { available: Cell::new(max_buffered_bytes(memory)) })
     }
 
-    /// Reserves what a body of this size may take; `None` if it is known to be too large to be buffered, or too
-    /// little is available.
+    /// Reserves what a body of this size may take; `None` if it is known to be too large to be buffered, or
+    /// too little is available.
     pub fn reserve(self: &Rc<BufferBudget>, size: &SizeHint) -> Option<BufferReservation> {
         let bytes = match size.exact() {
             Some(length) => usize::try_from(length).ok()?,
@@ -127,7 +127,8 @@
         self.len() == 0
     }
 
-    /// The next piece. It is a copy, so that the reservation ends with the last piece and not with its reader.
+    /// The next piece. It is a copy, so that the reservation ends with the last piece and not with its
+    /// reader.
     pub fn next_piece(&mut self) -> Option<Bytes> {
         let Some((bytes, _)) = &mut self.buffered else { return self.last.take() };
         let piece = Bytes::copy_from_slice(&bytes.split_to(bytes.len().min(PIECE_BYTES)));
--- a/src/node/body/incoming.rs
+++ b/src/node/body/incoming.rs
@@ -50,7 +50,8 @@
         self.body.size_hint()
     }
 
-    /// The next piece, or `None` at the end. Trailers are skipped: they are about the message and not its content.
+    /// The next piece, or `None` at the end. Trailers are skipped: they are about the message and not its
+    /// content.
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, ReceiveError>> {
         loop {
             let Some(frame) = ready!(Pin::new(&mut self.body).poll_frame(cx)) else {
--- a/src/node/body/mod.rs
+++ b/src/node/body/mod.rs
@@ -1,9 +1,10 @@
-//! Message bodies. Small ones are buffered, so that they can be sent again or thrown away; larger ones, and those for
-//! which the memory budget has no capacity left, pass through in pieces, each read when its reader asks for it.
+//! Message bodies. Small ones are buffered, so that they can be sent again or thrown away; larger ones, and
+//! those for which the memory budget has no capacity left, pass through in pieces, each read when its reader
+//! asks for it.
 //!
 //! [`budget`] owns the memory, [`incoming`] counts and bounds what hyper receives. Request bodies are read by
-//! [`request`], at the pace that [`pacing`] demands of clients, and sent by [`outbound`]; [`response`] does both for
-//! response bodies.
+//! [`request`], at the pace that [`pacing`] demands of clients, and sent by [`outbound`]; [`response`] does
+//! both for response bodies.
 
 mod budget;
 mod error;
--- a/src/node/body/pacing.rs
+++ b/src/node/body/pacing.rs
@@ -10,8 +10,8 @@
 use crate::body::error::BodyError;
 use crate::body::incoming::IncomingBody;
 
-/// The lowest rate at which a client may send, in bytes a second. Clients have to send at twice this rate; the rest
-/// allows for machines that run unevenly.
+/// The lowest rate at which a client may send, in bytes a second. Clients have to send at twice this rate;
+/// the rest allows for machines that run unevenly.
 const MIN_UPLOAD_RATE: f64 = 32_000.0;
 /// How long a client that is fast enough may pause: it may send what is due for a second at once.
 const MAX_UPLOAD_PAUSE: Duration = Duration::from_millis(1500);
--- a/src/node/body/request.rs
+++ b/src/node/body/request.rs
@@ -106,8 +106,8 @@
         let mut rest = self.rest.borrow_mut();
         let data = ready!(rest.poll_data(cx))?;
         if data.is_none() || self.length == Some(rest.received()) {
-            // A client's disconnect is behind what it has sent, and may show only now. No endpoint executes the
-            // request without its last byte.
+            // A client's disconnect is behind what it has sent, and may show only now. No endpoint executes
+            // the request without its last byte.
             if self.observer.is_peer_closed() {
                 return Poll::Ready(Err(BodyError::ClientDisconnected));
             }
@@ -133,7 +133,8 @@
 }
 
 impl RequestBody {
-    /// Receives a body that has to make progress by `due`: all of it if it is small and `budget` has capacity.
+    /// Receives a body that has to make progress by `due`: all of it if it is small and `budget` has
+    /// capacity.
     pub async fn read(
         body: Incoming,
         due: Instant,
--- a/src/node/body/response.rs
+++ b/src/node/body/response.rs
@@ -14,8 +14,8 @@
 use crate::body::budget::{BodyBuffer, BufferBudget, BufferReservation, BufferedPrefix};
 use crate::body::incoming::{IncomingBody, ReceiveError};
 
-/// How long an endpoint may pause in a response that has begun to pass through to its client. It is long because to
-/// fail such a response helps nobody but the next request in the queue.
+/// How long an endpoint may pause in a response that has begun to pass through to its client. It is long
+/// because to fail such a response helps nobody but the next request in the queue.
 const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What was read of an endpoint's response before it is passed on.
--- a/src/node/downstream/connection.rs
+++ b/src/node/downstream/connection.rs
@@ -9,18 +9,19 @@
 
 use crate::net::SocketObserver;
 
-/// How long a client may take to send a request head, and how long a connection may stay idle. A client that needs
-/// a connection later opens a new one.
+/// How long a client may take to send a request head, and how long a connection may stay idle. A client that
+/// needs a connection later opens a new one.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The head of a connection's first request has to be complete this long after the connection was accepted, which
-/// ends an unused connection within 3 s of its start.
+/// The head of a connection's first request has to be complete this long after the connection was accepted,
+/// which ends an unused connection within 3 s of its start.
 const FIRST_HEAD_TIMEOUT: Duration = Duration::from_millis(2800);
 /// How long a client may read nothing of a response that is waiting to be written.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// A new connection is not closed to free capacity for this long: clients connect because they have a request.
+/// A new connection is not closed to free capacity for this long: clients connect because they have a
+/// request.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(300);
-/// A connection that has served a request is not closed to free capacity until it has been idle for this long: the
-/// next request may be on its way already.
+/// A connection that has served a request is not closed to free capacity until it has been idle for this
+/// long: the next request may be on its way already.
 const MIN_IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(100);
 
 /// The state of a connection that its own task, the connection table and the sweeps share.
@@ -87,8 +88,8 @@
         self.idle_since.set(Some(Instant::now()));
     }
 
-    /// By when a request whose head has just been read has to make progress with its body. The first request is
-    /// measured from the accept.
+    /// By when a request whose head has just been read has to make progress with its body. The first request
+    /// is measured from the accept.
     pub fn request_due(&self) -> Instant {
         let started = if self.is_first_request_pending() { self.accepted_at } else { Instant::now() };
         started + REQUEST_TIMEOUT
@@ -99,8 +100,8 @@
         self.observer.has_request_started() || self.observer.has_unread_data()
     }
 
-    /// Since when it is idle, if it may be closed now. A client whose request crosses the close sends it once more,
-    /// but a request that has begun to arrive would be lost.
+    /// Since when it is idle, if it may be closed now. A client whose request crosses the close sends it once
+    /// more, but a request that has begun to arrive would be lost.
     pub fn closable_since(&self) -> Option<Instant> {
         let idle_since = self.idle_since.get()?;
         if self.is_closing() || self.has_incoming_request() {
--- a/src/node/downstream/connections.rs
+++ b/src/node/downstream/connections.rs
@@ -1,5 +1,5 @@
-//! The table of downstream connections: the one owner of their number, their limits, and the choice of the idle
-//! connection to close.
+//! The table of downstream connections: the one owner of their number, their limits, and the choice of the
+//! idle connection to close.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,15 +23,15 @@
     max_open: usize,
     /// The most of them with a request that is served.
     max_served: usize,
-    /// Beyond this many, idle connections are closed and responses close theirs: connections that clients keep
-    /// without using them keep others from connecting.
+    /// Beyond this many, idle connections are closed and responses close theirs: connections that clients
+    /// keep without using them keep others from connecting.
     max_kept_alive: usize,
 }
 
 impl ConnectionLimits {
-    /// The limits for a process with so many descriptors for connections, of which `upstream` are set aside for
-    /// endpoints. A downstream connection is in use for as long as its request waits, an upstream one only during an
-    /// attempt: downstream needs more.
+    /// The limits for a process with so many descriptors for connections, of which `upstream` are set aside
+    /// for endpoints. A downstream connection is in use for as long as its request waits, an upstream one
+    /// only during an attempt: downstream needs more.
     pub fn new(descriptors: usize, upstream: usize) -> ConnectionLimits {
         let max_open = descriptors - upstream;
         ConnectionLimits {
@@ -77,8 +77,8 @@
         while self.staying() > limits.max_open && self.close_idlest() {}
     }
 
-    /// Enters a connection until the returned guard is dropped. If there are too many, the one that has been idle
-    /// for longest is closed.
+    /// Enters a connection until the returned guard is dropped. If there are too many, the one that has been
+    /// idle for longest is closed.
     pub fn insert(self: &Rc<Self>, connection: Rc<Connection>) -> TableEntry {
         let id = self.next_id.replace(self.next_id.get() + 1);
         self.open.borrow_mut().insert(id, connection.clone());
@@ -133,8 +133,8 @@
         connection.request_close();
     }
 
-    /// Withdraws [`ConnectionTable::close`]: a request has begun to arrive. The connection closes with its response if
-    /// it has to.
+    /// Withdraws [`ConnectionTable::close`]: a request has begun to arrive. The connection closes with its
+    /// response if it has to.
     pub fn cancel_close(&self, connection: &Connection) {
         if connection.set_closing(false) {
             self.closing.set(self.closing.get() - 1);
--- a/src/node/downstream/error.rs
+++ b/src/node/downstream/error.rs
@@ -8,12 +8,12 @@
 
 /// What is wrong with a request, for its client to correct.
 ///
-/// The messages are the bodies of the responses. They name the field and what is allowed; of what the client sent they
-/// repeat no text, which is unchecked.
+/// The messages are the bodies of the responses. They name the field and what is allowed; of what the client
+/// sent they repeat no text, which is unchecked.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    /// hyper goes by the encoding and hides the length. For a peer that goes by the length, another request may be
-    /// in the body.
+    /// hyper goes by the encoding and hides the length. For a peer that goes by the length, another request
+    /// may be in the body.
     #[error("both Content-Length and Transfer-Encoding")]
     AmbiguousFraming,
     /// The first part of the path names no class of the settings.
--- a/src/node/downstream/exchange.rs
+++ b/src/node/downstream/exchange.rs
@@ -25,8 +25,8 @@
     pub claimed_id: ClaimedRequestId<'a>,
 }
 
-/// Has the engine notified of a body that passes through: what has been forwarded cannot be sent to another endpoint,
-/// and the response time counts from the last byte.
+/// Has the engine notified of a body that passes through: what has been forwarded cannot be sent to another
+/// endpoint, and the response time counts from the last byte.
 pub fn notify_engine_of_upload(body: &RequestBody, id: RequestId, engine: &EngineHandle) {
     let RequestBody::Streamed(stream) = body else { return };
     let engine = engine.clone();
@@ -38,8 +38,8 @@
     });
 }
 
-/// Hands a request to the engine and waits for the final answer. If this ends without one, because the client has
-/// disconnected or failed to send its body, or hyper drops it, the engine is notified.
+/// Hands a request to the engine and waits for the final answer. If this ends without one, because the client
+/// has disconnected or failed to send its body, or hyper drops it, the engine is notified.
 pub async fn exchange(
     accepted: AcceptedRequest<'_>,
     observer: &SocketObserver,
@@ -86,8 +86,8 @@
     plain(StatusCode::BAD_GATEWAY, "no answer")
 }
 
-/// While armed, notifies the engine on drop that nobody waits for the final answer any more. An attempt that runs
-/// before the engine has read that sees it in the request itself.
+/// While armed, notifies the engine on drop that nobody waits for the final answer any more. An attempt that
+/// runs before the engine has read that sees it in the request itself.
 struct DisconnectGuard<'a> {
     id: RequestId,
     upstream_request: Rc<UpstreamRequest>,
--- a/src/node/downstream/handler.rs
+++ b/src/node/downstream/handler.rs
@@ -35,8 +35,8 @@
     KeepAlive,
     /// It closes.
     Close,
-    /// It closes, but the client may still be sending: its bytes are read for a while, so that the close does not
-    /// reset the connection before the client has the response.
+    /// It closes, but the client may still be sending: its bytes are read for a while, so that the close does
+    /// not reset the connection before the client has the response.
     LingeringClose,
 }
 
@@ -119,8 +119,8 @@
         };
         let then = match upstream_request.received_at() {
             None => AfterResponse::LingeringClose,
-            // Only hyper knows where among the bytes the last chunk ended, so that the head of the next request
-            // could not be told apart.
+            // Only hyper knows where among the bytes the last chunk ended, so that the head of the next
+            // request could not be told apart.
             Some(_) if chunked => AfterResponse::Close,
             Some(_) => AfterResponse::KeepAlive,
         };
--- a/src/node/downstream/listener.rs
+++ b/src/node/downstream/listener.rs
@@ -17,8 +17,8 @@
 const LAST_ACCEPT_TIMEOUT: Duration = Duration::from_millis(20);
 
 impl DownstreamServer {
-    /// Accepts connections until `stop` is notified, then those that the kernel has accepted already: they count as
-    /// the node's.
+    /// Accepts connections until `stop` is notified, then those that the kernel has accepted already: they
+    /// count as the node's.
     pub async fn accept(self: Rc<Self>, listener: TcpListener, stop: Rc<Notify>) {
         let mut stopping = false;
         loop {
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Waits until another connection may be opened. Until then connections wait in the kernel: to accept and drop
-    /// one would lose a request.
+    /// Waits until another connection may be opened. Until then connections wait in the kernel: to accept and
+    /// drop one would lose a request.
     async fn wait_for_capacity(&self) {
         while !self.connections().has_capacity() {
             self.connections().close_idlest();
--- a/src/node/downstream/mod.rs
+++ b/src/node/downstream/mod.rs
@@ -1,9 +1,9 @@
 //! Downstream: the clients' connections, and one final response to each of their requests.
 //!
-//! A connection is accepted by [`listener`], entered in the table of [`connections`] (which owns all limits and
-//! decides which idle connection closes first) and driven by [`service`]. Each request goes through [`handler`]:
-//! [`health`] checks are answered at once, all others are validated by [`request`] and handed to the engine by
-//! [`exchange`].
+//! A connection is accepted by [`listener`], entered in the table of [`connections`] (which owns all limits
+//! and decides which idle connection closes first) and driven by [`service`]. Each request goes through
+//! [`handler`]: [`health`] checks are answered at once, all others are validated by [`request`] and handed to
+//! the engine by [`exchange`].
 
 mod client_connections;
 mod connection;
--- a/src/node/downstream/request.rs
+++ b/src/node/downstream/request.rs
@@ -18,8 +18,8 @@
 use crate::protocol::headers::{COST, DEADLINE, ID, KEY, OWNER, drop_hop_headers};
 use crate::upstream::UpstreamRequest;
 
-/// A deadline counts from the client's sending. This much of it has passed when the request is read, and passes again
-/// before the response has arrived.
+/// A deadline counts from the client's sending. This much of it has passed when the request is read, and
+/// passes again before the response has arrived.
 const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(3);
 /// The host that endpoints are given where a client names none.
 const DEFAULT_HOST: HeaderValue = HeaderValue::from_static("origin.svc");
@@ -85,8 +85,8 @@
         Some(xxhash_rust::xxh3::xxh3_64(part.as_bytes()))
     }
 
-    /// The request as it is sent to endpoints. `buffered_at` is when the last byte was received, if the body is
-    /// buffered.
+    /// The request as it is sent to endpoints. `buffered_at` is when the last byte was received, if the body
+    /// is buffered.
     pub fn into_upstream_request(self, body: RequestBody, buffered_at: Instant) -> UpstreamRequest {
         let target = self.uri.path_and_query().cloned().unwrap_or(PathAndQuery::from_static("/"));
         let mut headers = self.headers;
--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -67,7 +67,8 @@
         &self.service
     }
 
-    /// Goes by half of the node's descriptors while another process of the node runs, by all of them otherwise.
+    /// Goes by half of the node's descriptors while another process of the node runs, by all of them
+    /// otherwise.
     pub fn share_descriptors(&self, shared: bool) {
         let descriptors = if shared { self.config.shared_sockets } else { self.config.sockets };
         self.upstream.set_max_connections(max_connections_of(descriptors));
@@ -79,8 +80,8 @@
         self.connections.exceeds_limit()
     }
 
-    /// Closes connections while the node is in standby, each once it has been idle for a while. Those in use close
-    /// with their responses.
+    /// Closes connections while the node is in standby, each once it has been idle for a while. Those in use
+    /// close with their responses.
     pub async fn run_standby_drain(&self) {
         loop {
             self.lifecycle.standby().await;
--- a/src/node/downstream/service.rs
+++ b/src/node/downstream/service.rs
@@ -28,7 +28,8 @@
 }
 
 impl ConnectionService {
-    /// A service that answers through `handler`, on connections that buffer `buffer_size` bytes in each direction.
+    /// A service that answers through `handler`, on connections that buffer `buffer_size` bytes in each
+    /// direction.
     pub fn new(
         handler: RequestHandler,
         connections: Rc<ConnectionTable>,
@@ -50,8 +51,8 @@
         let mut serving = pin!(builder.serve_connection(TokioIo::new(socket), service));
         loop {
             tokio::select! {
-                // What can be read is read before the connection is closed: it may be the request, or the end of
-                // one, that had not arrived when the close was requested.
+                // What can be read is read before the connection is closed: it may be the request, or the end
+                // of one, that had not arrived when the close was requested.
                 biased;
                 _ = serving.as_mut() => return,
                 () = connection.cut_requested() => {
--- a/src/node/lifecycle/hot_restart.rs
+++ b/src/node/lifecycle/hot_restart.rs
@@ -1,10 +1,11 @@
-//! Hot restart: two processes of a node run side by side, one takes over from the other, and both together keep to the
-//! node's descriptors.
+//! Hot restart: two processes of a node run side by side, one takes over from the other, and both together
+//! keep to the node's descriptors.
 //!
-//! Each process counts itself in the state file as it starts. Whoever sees that count rise has a successor (or has one
-//! process beside it) and keeps to half of the descriptors. The predecessor then releases the other half: it closes
-//! idle connections until it is within its limit and says so in a file. The successor becomes ready to serve after
-//! that, or after a while without it: the predecessor may have crashed, or be of a version that knows no release.
+//! Each process counts itself in the state file as it starts. Whoever sees that count rise has a successor
+//! (or has one process beside it) and keeps to half of the descriptors. The predecessor then releases the
+//! other half: it closes idle connections until it is within its limit and says so in a file. The successor
+//! becomes ready to serve after that, or after a while without it: the predecessor may have crashed, or be of
+//! a version that knows no release.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,16 +16,16 @@
 use crate::log::ErrorChain;
 use crate::state_store::{POLL_INTERVAL, StateStore};
 
-/// How long a process waits for its connections to come within the limit before it releases descriptors all the same.
-/// New connections without a request are left alone at first, but not for so long.
+/// How long a process waits for its connections to come within the limit before it releases descriptors all
+/// the same. New connections without a request are left alone at first, but not for so long.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a process waits for its predecessor to release descriptors: longer than that one takes. There may be no
-/// predecessor any more.
+/// How long a process waits for its predecessor to release descriptors: longer than that one takes. There may
+/// be no predecessor any more.
 const AWAIT_RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long after the last start of a process the descriptors are shared. By then one of the two has ended: the
-/// platform has replaced the older one, or the younger one has failed.
+/// How long after the last start of a process the descriptors are shared. By then one of the two has ended:
+/// the platform has replaced the older one, or the younger one has failed.
 const SHARING_TIME: Duration = Duration::from_secs(11);
 
 /// This process's part in hot restarts, as predecessor and as successor.
@@ -38,7 +39,8 @@
     /// The start number of the node's youngest process, and since when it has been the youngest one.
     latest_start: u64,
     latest_start_since: Instant,
-    /// The start number of the process that descriptors were last released to; this process's own if there was none.
+    /// The start number of the process that descriptors were last released to; this process's own if there
+    /// was none.
     released_to: u64,
 }
 
@@ -66,8 +68,8 @@
         }
     }
 
-    /// Follows the state file for as long as the process runs, and calls `on_state_change` whenever another process
-    /// has changed it.
+    /// Follows the state file for as long as the process runs, and calls `on_state_change` whenever another
+    /// process has changed it.
     pub async fn run(mut self, on_state_change: impl Fn()) {
         loop {
             self.step(Instant::now());
@@ -104,7 +106,8 @@
         self.latest_start > 1 && now - self.latest_start_since < SHARING_TIME
     }
 
-    /// Whether a successor waits for descriptors, and this process keeps to its half or has tried for long enough.
+    /// Whether a successor waits for descriptors, and this process keeps to its half or has tried for long
+    /// enough.
     fn can_release_descriptors(&self, now: Instant) -> bool {
         self.latest_start > self.released_to
             && (!self.connections.exceeds_limit() || now - self.latest_start_since >= RELEASE_TIMEOUT)
--- a/src/node/lifecycle/mod.rs
+++ b/src/node/lifecycle/mod.rs
@@ -1,7 +1,7 @@
 //! The life cycle of the process: serving, standby, graceful shutdown and hot restart.
 //!
-//! [`Lifecycle`] is the state: the phase, readiness and the shutdown deadline. Connections, the health check and the
-//! admin API go by it. [`HotRestart`] and [`GracefulShutdown`] drive it.
+//! [`Lifecycle`] is the state: the phase, readiness and the shutdown deadline. Connections, the health check
+//! and the admin API go by it. [`HotRestart`] and [`GracefulShutdown`] drive it.
 
 mod hot_restart;
 mod shutdown;
@@ -17,8 +17,8 @@
 pub use hot_restart::HotRestart;
 pub use shutdown::GracefulShutdown;
 
-/// What the node does with its clients. In all phases it serves those that come; in all but the first it closes each
-/// connection with its next response.
+/// What the node does with its clients. In all phases it serves those that come; in all but the first it
+/// closes each connection with its next response.
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
     Serving,
@@ -50,8 +50,8 @@
 
 /// The connections of clients, as the life cycle drives them.
 pub trait ClientConnections {
-    /// Keeps to half of the node's descriptors while `shared`, to all of them otherwise. Connections beyond the limit
-    /// are closed as soon as they are idle.
+    /// Keeps to half of the node's descriptors while `shared`, to all of them otherwise. Connections beyond
+    /// the limit are closed as soon as they are idle.
     fn share_descriptors(&self, shared: bool);
 
     /// Whether there are more connections than the limit, those that are about to close included.
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Keeps a process that is not ready yet from becoming so until [`Lifecycle::descriptors_available`] is called.
+    /// Keeps a process that is not ready yet from becoming so until [`Lifecycle::descriptors_available`] is
+    /// called.
     pub fn await_descriptors(&self) {
         if self.readiness.get() == Readiness::AwaitingEndpoint {
             self.readiness.set(Readiness::AwaitingDescriptors);
@@ -106,8 +107,8 @@
         self.readiness.get() == Readiness::Ready
     }
 
-    /// Whether the health check of the front is answered with success: the node takes new clients, in this process
-    /// or in its successor.
+    /// Whether the health check of the front is answered with success: the node takes new clients, in this
+    /// process or in its successor.
     pub fn welcomes_clients(&self) -> bool {
         let welcome = match self.phase.get() {
             Phase::Serving | Phase::Draining { successor: Some(Successor { standby: false }) } => true,
@@ -154,8 +155,8 @@
         }
     }
 
-    /// Begins the graceful shutdown: from now on each response closes its connection. `has_successor` tells whether
-    /// another process accepts new connections on the same listening socket.
+    /// Begins the graceful shutdown: from now on each response closes its connection. `has_successor` tells
+    /// whether another process accepts new connections on the same listening socket.
     fn begin_shutdown(&self, has_successor: bool) {
         let standby = self.is_standby();
         self.phase.set(Phase::Draining { successor: has_successor.then_some(Successor { standby }) });
--- a/src/node/lifecycle/shutdown.rs
+++ b/src/node/lifecycle/shutdown.rs
@@ -1,8 +1,9 @@
 //! Graceful shutdown: what happens between SIGTERM and the end of the process.
 //!
-//! 1. New connections are accepted for a while, unless a successor accepts them, and then those that wait in the
-//!    kernel. Each response closes its connection, and idle connections are closed.
-//! 2. At the shutdown deadline, what still waits for a response gets one at once, and new requests are rejected.
+//! 1. New connections are accepted for a while, unless a successor accepts them, and then those that wait
+//!    in the kernel. Each response closes its connection, and idle connections are closed.
+//! 2. At the shutdown deadline, what still waits for a response gets one at once, and new requests are
+//!    rejected.
 //! 3. Responses that have begun may still be transferred. The process ends with the last connection.
 
 use std::pin::pin;
@@ -15,20 +16,20 @@
 
 use super::{ClientConnections, Lifecycle};
 
-/// How long after SIGTERM connections are accepted: "new connections keep arriving for 0.2 to 0.4 s" (protocol,
-/// Figures).
+/// How long after SIGTERM connections are accepted: "new connections keep arriving for 0.2 to 0.4 s"
+/// (protocol, Figures).
 const ACCEPT_GRACE: Duration = Duration::from_millis(500);
 
-/// The longest request deadline that the shutdown deadline allows for: "SIGKILL arrives no earlier than the longest
-/// deadline (taken as 3 s where it is longer) plus 0.7 s after SIGTERM" (protocol, Figures).
+/// The longest request deadline that the shutdown deadline allows for: "SIGKILL arrives no earlier than the
+/// longest deadline (taken as 3 s where it is longer) plus 0.7 s after SIGTERM" (protocol, Figures).
 const MAX_REQUEST_DEADLINE: Duration = Duration::from_secs(3);
 
-/// The part of those 0.7 s that requests may still wait for their responses in. The last 0.3 s are for responding to
-/// all that still wait then.
+/// The part of those 0.7 s that requests may still wait for their responses in. The last 0.3 s are for
+/// responding to all that still wait then.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(400);
 
-/// How long after the shutdown deadline responses that have begun may go on to clients that read slowly. The protocol
-/// sets no end to this; the platform's SIGKILL does.
+/// How long after the shutdown deadline responses that have begun may go on to clients that read slowly. The
+/// protocol sets no end to this; the platform's SIGKILL does.
 const MAX_TRANSFER_TIME: Duration = Duration::from_secs(60);
 
 /// All that has to come to an end before the process does.
@@ -56,8 +57,8 @@
         log!("{} shuts down", self.node_name);
         self.lifecycle.begin_shutdown(self.has_successor);
         if self.has_successor {
-            // The successor accepts what waits in the kernel. Clients with an open connection move there after their
-            // next response.
+            // The successor accepts what waits in the kernel. Clients with an open connection move there
+            // after their next response.
             self.accept_task.abort();
         }
         sleep(ACCEPT_GRACE).await;
@@ -74,7 +75,8 @@
 /// Waits until all connections are closed, those that wait in the kernel included.
 async fn drain(connections: &impl ClientConnections, accept_task: &mut JoinHandle<()>) {
     connections.drain().await;
-    // While the node was at its connection limit, others may have waited in the kernel: they are accepted now.
+    // While the node was at its connection limit, others may have waited in the kernel: they are accepted
+    // now.
     let _ = accept_task.await;
     connections.drain().await;
 }
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -1,5 +1,5 @@
-//! One node: it takes requests from clients, has the balancer decide which endpoint each goes to, and passes the
-//! endpoints' responses on.
+//! One node: it takes requests from clients, has the balancer decide which endpoint each goes to, and passes
+//! the endpoints' responses on.
 #![deny(unsafe_code)]
 
 #[macro_use]
--- a/src/node/net/downstream_socket.rs
+++ b/src/node/net/downstream_socket.rs
@@ -18,8 +18,8 @@
 use super::framing::MessageFramer;
 use super::receive_queue::ReceiveQueue;
 
-/// For how long a client that still sends may read the response that rejects it, before the connection is closed.
-/// Closing with unread bytes resets the connection, and the response may be lost with it.
+/// For how long a client that still sends may read the response that rejects it, before the connection is
+/// closed. Closing with unread bytes resets the connection, and the response may be lost with it.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// How many bytes are read from the client meanwhile.
 const MAX_LINGER_BYTES: usize = 32 << 20;
@@ -52,15 +52,15 @@
         self.write_blocked_since.get()
     }
 
-    /// Returns once the client has closed its side or reset the connection, whatever it sent before. hyper would not
-    /// notice: it reads no further while it has bytes that nobody has polled for.
+    /// Returns once the client has closed its side or reset the connection, whatever it sent before. hyper
+    /// would not notice: it reads no further while it has bytes that nobody has polled for.
     pub async fn closed(&self) {
         // Priority data is not used, so that readiness of this interest means the end of what can be read.
         while self.stream.ready(Interest::PRIORITY).await.is_ok_and(|ready| !ready.is_read_closed()) {}
     }
 
-    /// Whether the client has closed or reset the connection, as far as the kernel knows now, and has sent nothing
-    /// before that is still to be read.
+    /// Whether the client has closed or reset the connection, as far as the kernel knows now, and has sent
+    /// nothing before that is still to be read.
     pub fn is_peer_closed(&self) -> bool {
         matches!(self.receive_queue(), ReceiveQueue::EndOfStream | ReceiveQueue::Failed)
     }
@@ -137,8 +137,8 @@
         Lingering { timer: Box::pin(sleep(LINGER_TIMEOUT)), remaining_bytes: MAX_LINGER_BYTES }
     }
 
-    /// Reads and discards until the client has closed its side or the time is up. Once it has sent too much, only
-    /// waits.
+    /// Reads and discards until the client has closed its side or the time is up. Once it has sent too much,
+    /// only waits.
     fn poll(&mut self, cx: &mut Context<'_>, reader: &mut OwnedReadHalf) -> Poll<()> {
         while self.timer.as_mut().poll(cx).is_pending() {
             if self.remaining_bytes == 0 {
@@ -168,7 +168,8 @@
 impl DownstreamSocket {
     /// Wraps an accepted stream.
     pub fn new(stream: TcpStream) -> (DownstreamSocket, Rc<SocketObserver>) {
-        // That a slow client reads shows only as the kernel's buffer empties, and that would grow to megabytes.
+        // That a slow client reads shows only as the kernel's buffer empties, and that would grow to
+        // megabytes.
         let _ = SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_SIZE);
         let (reader, stream) = stream.into_split();
         let observer = Rc::new(SocketObserver {
--- a/src/node/net/framing.rs
+++ b/src/node/net/framing.rs
@@ -1,9 +1,10 @@
-//! Where the requests on a downstream connection begin and end, as far as the bytes show it that hyper does not.
+//! Where the requests on a downstream connection begin and end, as far as the bytes show it that hyper does
+//! not.
 
 use tokio::time::Instant;
 
-/// The beginning of a header line that states the length of a body. hyper drops this header from a request that has
-/// `Transfer-Encoding` too, which it must not have.
+/// The beginning of a header line that states the length of a body. hyper drops this header from a request
+/// that has `Transfer-Encoding` too, which it must not have.
 const CONTENT_LENGTH: &[u8] = b"content-length:";
 
 /// Follows the bytes of one request of a downstream connection.
@@ -19,8 +20,8 @@
     content_length_lines: usize,
     /// How many bytes came behind the head.
     body_bytes: u64,
-    /// Whether an earlier request did not end where its framing said, so that bytes of one message may have been
-    /// taken for bytes of another.
+    /// Whether an earlier request did not end where its framing said, so that bytes of one message may have
+    /// been taken for bytes of another.
     is_ambiguous: bool,
 }
 
@@ -70,7 +71,8 @@
         }
     }
 
-    /// Goes on to the next request. This one was complete, with a body of `body_length` bytes if that is known.
+    /// Goes on to the next request. This one was complete, with a body of `body_length` bytes if that is
+    /// known.
     pub fn complete(&mut self, body_length: Option<u64>) {
         let is_ambiguous = self.is_ambiguous || self.in_head || body_length != Some(self.body_bytes);
         *self = MessageFramer { is_ambiguous, ..MessageFramer::new() };
--- a/src/node/net/inherited_listener.rs
+++ b/src/node/net/inherited_listener.rs
@@ -61,8 +61,8 @@
 
 fn adopt(descriptor: RawFd) -> Result<TcpListener, InheritedListenerError> {
     // SAFETY: nothing in this process has opened a descriptor but the standard streams, so this one, if it is
-    // open, is what the platform has passed on, and belongs to nobody else. If it is not, nothing is done with
-    // it but to ask the kernel, which says so.
+    // open, is what the platform has passed on, and belongs to nobody else. If it is not, nothing is done
+    // with it but to ask the kernel, which says so.
     #[allow(unsafe_code)]
     let socket = unsafe { OwnedFd::from_raw_fd(descriptor) };
     let error = match SockRef::from(&socket).is_listener() {
--- a/src/node/net/mod.rs
+++ b/src/node/net/mod.rs
@@ -1,4 +1,5 @@
-//! Sockets: wrappers around TCP streams that observe the bytes that hyper reads and writes, and what limits sockets.
+//! Sockets: wrappers around TCP streams that observe the bytes that hyper reads and writes, and what limits
+//! sockets.
 
 pub mod inherited_listener;
 
--- a/src/node/net/permits.rs
+++ b/src/node/net/permits.rs
@@ -7,10 +7,11 @@
 
 /// Limits the number of upstream connections.
 ///
-/// Not a [`tokio::sync::Semaphore`], for two reasons. The limit changes while the process runs and may fall below the
-/// number of permits in use, which a semaphore can't represent: its permits can only be forgotten while they are
-/// available. And a semaphore hands a released permit to the waiter that came first, while here it goes to whoever
-/// asks next, so that a request that finds a permit free never queues behind those that still have to be woken.
+/// Not a [`tokio::sync::Semaphore`], for two reasons. The limit changes while the process runs and may fall
+/// below the number of permits in use, which a semaphore can't represent: its permits can only be forgotten
+/// while they are available. And a semaphore hands a released permit to the waiter that came first, while
+/// here it goes to whoever asks next, so that a request that finds a permit free never queues behind those
+/// that still have to be woken.
 pub struct ConnectionPermits {
     max: Cell<usize>,
     in_use: Cell<usize>,
--- a/src/node/net/upstream_socket.rs
+++ b/src/node/net/upstream_socket.rs
@@ -13,8 +13,8 @@
 use super::permits::ConnectionPermit;
 use super::receive_queue::ReceiveQueue;
 
-/// A connection to an endpoint, shared between hyper, which uses it through [`UpstreamIo`], and the connection's
-/// owner.
+/// A connection to an endpoint, shared between hyper, which uses it through [`UpstreamIo`], and the
+/// connection's owner.
 pub struct UpstreamSocket {
     stream: RefCell<TcpStream>,
     /// How many bytes have been written.
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -7,8 +7,9 @@
 
 use crate::config::Config;
 
-/// Reads the configuration at `path` at each `hang_up` signal, for as long as the process runs. Only discovery's address
-/// changes while a node runs; it is sent to `discovery_address`. A file that is invalid changes nothing.
+/// Reads the configuration at `path` at each `hang_up` signal, for as long as the process runs. Only
+/// discovery's address changes while a node runs; it is sent to `discovery_address`. A file that is invalid
+/// changes nothing.
 pub async fn follow(path: String, mut hang_up: Signal, discovery_address: watch::Sender<SocketAddr>) {
     while hang_up.recv().await.is_some() {
         match Config::read(&path) {
--- a/src/node/startup/mod.rs
+++ b/src/node/startup/mod.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// Starts a node, on the `inherited` listener if there is one, and returns what shuts it down. Its tasks run on the
-/// current [`tokio::task::LocalSet`].
+/// Starts a node, on the `inherited` listener if there is one, and returns what shuts it down. Its tasks run
+/// on the current [`tokio::task::LocalSet`].
 pub async fn start(
     inherited: Option<std::net::TcpListener>,
     hang_up: Signal,
--- a/src/node/state_store/admin_state.rs
+++ b/src/node/state_store/admin_state.rs
@@ -1,7 +1,7 @@
 //! What the state file holds, and its form as JSON.
 //!
-//! Processes of an older and a newer version of the program share one file during a hot restart: the keys, their
-//! order and the version number are a format to keep.
+//! Processes of an older and a newer version of the program share one file during a hot restart: the keys,
+//! their order and the version number are a format to keep.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,23 +14,24 @@
 /// The version of the format. Nothing is known of files with another number.
 const FORMAT_VERSION: u32 = 1;
 
-/// How long the time of an endpoint's return is kept. No endpoint warms up for longer, so that the time says nothing
-/// any more afterwards.
+/// How long the time of an endpoint's return is kept. No endpoint warms up for longer, so that the time says
+/// nothing any more afterwards.
 const RETURN_RETENTION: Duration = Duration::from_secs(600);
 
 /// What operators have ordered for the node, and how many processes it has had.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdminState {
-    /// How many processes of the node have started. A process's start number is this count right after its own start;
-    /// a higher one belongs to a successor.
+    /// How many processes of the node have started. A process's start number is this count right after its
+    /// own start; a higher one belongs to a successor.
     #[serde(rename = "starts")]
     pub process_starts: u64,
     /// Whether the node is in standby.
     pub standby: bool,
     /// The uids of the endpoints in maintenance.
     pub maintenance: BTreeSet<String>,
-    /// By uid, when endpoints left maintenance, in microseconds of Unix time, for as long as they may be warming up.
+    /// By uid, when endpoints left maintenance, in microseconds of Unix time, for as long as they may be
+    /// warming up.
     #[serde(rename = "returned")]
     pub returned_at: BTreeMap<String, u64>,
 }
@@ -48,8 +49,8 @@
         self.maintenance.insert(uid);
     }
 
-    /// Takes an endpoint out of maintenance at `now`, in Unix time. A second call changes nothing: the endpoint warms
-    /// up from the first one on.
+    /// Takes an endpoint out of maintenance at `now`, in Unix time. A second call changes nothing: the
+    /// endpoint warms up from the first one on.
     pub fn exit_maintenance(&mut self, uid: &str, now: Timestamp) {
         if self.maintenance.remove(uid) {
             let age = |returned_at| now.saturating_duration_since(Timestamp::from_micros(returned_at));
--- a/src/node/state_store/mod.rs
+++ b/src/node/state_store/mod.rs
@@ -1,7 +1,7 @@
 //! The state of the node that outlives its processes, in one small file that they share.
 //!
-//! It is written by whichever process an operator calls, under a lock and by renaming, so that readers find the old
-//! content or the new one. The other processes read it again when it has changed.
+//! It is written by whichever process an operator calls, under a lock and by renaming, so that readers find
+//! the old content or the new one. The other processes read it again when it has changed.
 
 mod admin_state;
 mod error;
@@ -23,8 +23,8 @@
 /// How often each process checks whether another one has written the file.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the files' names begin with: the program's former name, since a process of an older version has to find the
-/// same files.
+/// What the files' names begin with: the program's former name, since a process of an older version has to
+/// find the same files.
 const FILE_PREFIX: &str = "dunelink";
 
 /// How long to wait for the lock. Other processes hold it for one write.
@@ -63,8 +63,8 @@
 }
 
 impl StateStore {
-    /// Opens the state file of the node `name` in `folder`. Without a file, or where it cannot be read, the state is
-    /// the default one.
+    /// Opens the state file of the node `name` in `folder`. Without a file, or where it cannot be read, the
+    /// state is the default one.
     pub fn open(folder: &Path, name: &str) -> StateStore {
         let file_name_char = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
         let file_name: String = name.chars().map(file_name_char).collect();
@@ -82,8 +82,8 @@
         self.state.borrow().clone()
     }
 
-    /// Reads the file if it was written since the last time. Returns whether the state has changed. A file that cannot
-    /// be read or decoded is logged once and changes nothing.
+    /// Reads the file if it was written since the last time. Returns whether the state has changed. A file
+    /// that cannot be read or decoded is logged once and changes nothing.
     pub fn refresh(&self) -> bool {
         // Without a file the last state still holds: the file was there when it was read, and may come back.
         let Ok(version) = FileVersion::of(&self.path) else { return false };
@@ -106,7 +106,8 @@
     /// If the file cannot be locked within 400 ms or cannot be written; nothing is changed then.
     pub async fn update(&self, change: impl FnOnce(&mut AdminState)) -> Result<(), StateError> {
         let _lock = self.lock().await?;
-        // No await from here to the renaming: neither this process nor another one comes between reading and writing.
+        // No await from here to the renaming: neither this process nor another one comes between reading and
+        // writing.
         self.refresh();
         let mut state = self.state();
         change(&mut state);
@@ -148,8 +149,8 @@
     }
 }
 
-/// The release of descriptors to a successor stands in a file beside the state: an older version of the program, which
-/// does not know of it, has to be able to read the state.
+/// The release of descriptors to a successor stands in a file beside the state: an older version of the
+/// program, which does not know of it, has to be able to read the state.
 impl StateStore {
     fn release_path(&self) -> PathBuf {
         self.path.with_extension("given-way")
@@ -161,7 +162,8 @@
         let _ = fs::write(self.release_path(), start_number.to_string());
     }
 
-    /// Whether the process with this start number, or a later one, was given its part of the node's descriptors.
+    /// Whether the process with this start number, or a later one, was given its part of the node's
+    /// descriptors.
     pub fn were_descriptors_released(&self, start_number: u64) -> bool {
         fs::read_to_string(self.release_path())
             .is_ok_and(|text| text.parse().is_ok_and(|released: u64| released >= start_number))
--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -58,8 +58,8 @@
 enum ExchangeError {
     /// The attempt has failed.
     Failed(Outcome),
-    /// The connection was idle and closed before anything was written to it. The request may be sent on another: that
-    /// is not a second execution.
+    /// The connection was idle and closed before anything was written to it. The request may be sent on
+    /// another: that is not a second execution.
     NothingWritten,
 }
 
@@ -142,15 +142,16 @@
         };
         self.pool.record_response(self.endpoint, lease.origin);
         drop(unresponsive_guard);
-        // A request of which the last byte is still missing was not executed: a 200 to it is not its response.
+        // A request of which the last byte is still missing was not executed: a 200 to it is not its
+        // response.
         if self.request.received_at().is_none() && response.status() == StatusCode::OK {
             return Err(Outcome::Reset.into());
         }
         Ok(self.read_response(lease, response).await?)
     }
 
-    /// What it means that the connection broke before the head of a response. Endpoints begin to execute a request
-    /// when its last byte has arrived.
+    /// What it means that the connection broke before the head of a response. Endpoints begin to execute a
+    /// request when its last byte has arrived.
     fn classify_send_error(
         &self,
         lease: &ConnectionLease,
@@ -229,9 +230,9 @@
 
 /// Closes the idle connections to an endpoint if a request to it ends without a response after a long time.
 ///
-/// An endpoint that has become unreachable is silent on all connections that it had. Each idle one would cost another
-/// attempt its full timeout, and leave open whether the request was executed; a new one fails early, and surely without
-/// executing anything.
+/// An endpoint that has become unreachable is silent on all connections that it had. Each idle one would cost
+/// another attempt its full timeout, and leave open whether the request was executed; a new one fails early,
+/// and surely without executing anything.
 struct UnresponsiveGuard<'a> {
     pool: &'a UpstreamPool,
     endpoint: EndpointId,
--- a/src/node/upstream/connect.rs
+++ b/src/node/upstream/connect.rs
@@ -55,8 +55,8 @@
         &self.permits
     }
 
-    /// Opens a connection for a request. Where permits or descriptors are short, `evict_idle` is called to close an
-    /// idle connection.
+    /// Opens a connection for a request. Where permits or descriptors are short, `evict_idle` is called to
+    /// close an idle connection.
     pub async fn connect(
         &self,
         incarnation: Incarnation,
@@ -68,11 +68,11 @@
         handshake.map_err(|_| ConnectError::Unreachable)
     }
 
-    /// Opens a socket once there are a permit and a descriptor for it. The machine may have fewer descriptors than
-    /// the configuration says.
+    /// Opens a socket once there are a permit and a descriptor for it. The machine may have fewer descriptors
+    /// than the configuration says.
     ///
-    /// Both are waited for no longer than for an endpoint. The other endpoints could be reached no better, and trying
-    /// them at once would use up the attempts of the request.
+    /// Both are waited for no longer than for an endpoint. The other endpoints could be reached no better,
+    /// and trying them at once would use up the attempts of the request.
     async fn open_socket(
         &self,
         address: SocketAddr,
--- a/src/node/upstream/connection.rs
+++ b/src/node/upstream/connection.rs
@@ -18,8 +18,8 @@
 /// How long hyper may take, after a response, until it accepts the next request on the connection.
 const READY_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// One incarnation of an endpoint, as far as it can be told from outside. Connections that were opened to an earlier
-/// one are not used any more.
+/// One incarnation of an endpoint, as far as it can be told from outside. Connections that were opened to an
+/// earlier one are not used any more.
 #[derive(Clone, Copy, PartialEq)]
 pub struct Incarnation {
     /// Where the endpoint accepts connections.
@@ -112,14 +112,14 @@
         self.sender.is_closed()
     }
 
-    /// Whether a request can be sent on it. Whatever the peer has sent since the last response would be read as the
-    /// response to the next request, so such a connection is of no use.
+    /// Whether a request can be sent on it. Whatever the peer has sent since the last response would be read
+    /// as the response to the next request, so such a connection is of no use.
     pub fn is_reusable(&self) -> bool {
         self.sender.is_ready() && self.socket.is_receive_queue_empty()
     }
 
-    /// Waits until hyper has found the end of the response and accepts another request, and starts the idle time.
-    /// Returns whether that succeeded.
+    /// Waits until hyper has found the end of the response and accepts another request, and starts the idle
+    /// time. Returns whether that succeeded.
     pub async fn become_idle(&mut self) -> bool {
         let ready = timeout(READY_TIMEOUT, self.sender.ready()).await;
         self.idle_since = Instant::now();
--- a/src/node/upstream/endpoints.rs
+++ b/src/node/upstream/endpoints.rs
@@ -19,8 +19,8 @@
         Endpoint { incarnation, idle: IdleConnections::new() }
     }
 
-    /// Whether it has the same address and start time. The maintenance epoch does not matter: it is no property of the
-    /// process.
+    /// Whether it has the same address and start time. The maintenance epoch does not matter: it is no
+    /// property of the process.
     fn is_same_process(&self, other: &Incarnation) -> bool {
         (self.incarnation.address, self.incarnation.started_at) == (other.address, other.started_at)
     }
@@ -59,8 +59,8 @@
         self.apply(list, HashSet::new());
     }
 
-    /// Takes in the entries of a list. Of an endpoint that is not ready then nothing is kept, as it is sent nothing;
-    /// `unready` are those that are not unless the list says otherwise.
+    /// Takes in the entries of a list. Of an endpoint that is not ready then nothing is kept, as it is sent
+    /// nothing; `unready` are those that are not unless the list says otherwise.
     fn apply(
         &mut self,
         list: impl Iterator<Item = (EndpointInfo, SocketAddr)>,
--- a/src/node/upstream/idle.rs
+++ b/src/node/upstream/idle.rs
@@ -6,8 +6,9 @@
 
 use super::connection::Connection;
 
-/// How long a connection has to be idle before it is used again. Endpoints were seen to send stray bytes up to 7 ms
-/// behind a response; these have to arrive before the next request is written, or would be read as its response.
+/// How long a connection has to be idle before it is used again. Endpoints were seen to send stray bytes up
+/// to 7 ms behind a response; these have to arrive before the next request is written, or would be read as
+/// its response.
 const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(10);
 /// An endpoint that has responded to nothing for this long may be unreachable.
 const SUSPECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -17,7 +18,8 @@
 pub struct ReuseLimits {
     /// A connection that has been idle for longer is closed.
     pub max_idle: Duration,
-    /// A connection that has been idle for longer is left to other requests, and this one gets a new connection.
+    /// A connection that has been idle for longer is left to other requests, and this one gets a new
+    /// connection.
     pub max_idle_of_request: Duration,
 }
 
@@ -34,8 +36,8 @@
         IdleConnections { connections: Vec::new(), last_response_at: Instant::now() }
     }
 
-    /// Takes the connection that became idle last, among those that have settled and can be reused. Closes those
-    /// that it finds to be broken or too old.
+    /// Takes the connection that became idle last, among those that have settled and can be reused. Closes
+    /// those that it finds to be broken or too old.
     pub fn take(&mut self, limits: ReuseLimits) -> Option<Connection> {
         let has_settled = |c: &Connection| c.idle_for() >= MIN_IDLE_BEFORE_REUSE;
         while let Some(position) = self.connections.iter().rposition(has_settled) {
--- a/src/node/upstream/idle_timeout.rs
+++ b/src/node/upstream/idle_timeout.rs
@@ -1,8 +1,9 @@
 //! For how long idle connections are kept, learned from endpoints that reject new ones.
 //!
-//! Endpoints accept a limited number of connections and do not say how many. The idle connections of all nodes
-//! together keep out the nodes that need one, whatever capacity the endpoints have for requests. So the idle timeout
-//! `T` is halved with each new connection that is rejected, and doubles in [`DOUBLING_TIME`] while none is:
+//! Endpoints accept a limited number of connections and do not say how many. The idle connections of all
+//! nodes together keep out the nodes that need one, whatever capacity the endpoints have for requests. So the
+//! idle timeout `T` is halved with each new connection that is rejected, and doubles in [`DOUBLING_TIME`]
+//! while none is:
 //!
 //! ```text
 //! new connection rejected:     T = max(T / 2, MIN_IDLE_TIMEOUT)
--- a/src/node/upstream/pool.rs
+++ b/src/node/upstream/pool.rs
@@ -18,13 +18,13 @@
 use crate::body::BufferBudget;
 use crate::config::Config;
 
-/// An idle connection is closed after this fraction of the time for which endpoints keep it: a request that crosses
-/// the endpoint's close is lost.
+/// An idle connection is closed after this fraction of the time for which endpoints keep it: a request that
+/// crosses the endpoint's close is lost.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 /// How often idle connections are swept.
 const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// One in so many of the descriptors for connections is for upstream ones. A downstream connection is in use while its
-/// request is queued, an upstream one only while an attempt is under way: downstream needs more.
+/// One in so many of the descriptors for connections is for upstream ones. A downstream connection is in use
+/// while its request is queued, an upstream one only while an attempt is under way: downstream needs more.
 const DESCRIPTORS_PER_UPSTREAM_CONNECTION: usize = 3;
 
 /// How many of `descriptors` may be used for upstream connections.
@@ -65,8 +65,8 @@
         self.endpoints.borrow().has_ready()
     }
 
-    /// Takes in a snapshot of all endpoints. Idle connections to endpoints that have moved, restarted or are not
-    /// ready are closed.
+    /// Takes in a snapshot of all endpoints. Idle connections to endpoints that have moved, restarted or are
+    /// not ready are closed.
     pub fn apply_snapshot(&self, list: impl Iterator<Item = (EndpointInfo, SocketAddr)>) {
         self.endpoints.borrow_mut().apply_snapshot(list);
     }
@@ -131,8 +131,9 @@
 
     /// Takes an idle connection, if a request may be sent on one.
     ///
-    /// When a connection breaks under a request it is unknown whether the request was executed. A non-idempotent one
-    /// could then neither be retried nor rejected, so it gets a new connection rather than one that may be stale.
+    /// When a connection breaks under a request it is unknown whether the request was executed. A
+    /// non-idempotent one could then neither be retried nor rejected, so it gets a new connection rather than
+    /// one that may be stale.
     pub(super) fn take_idle(
         self: &Rc<Self>,
         endpoint: EndpointId,
--- a/src/node/upstream/request.rs
+++ b/src/node/upstream/request.rs
@@ -32,7 +32,8 @@
     pub buffered_at: Instant,
     /// Whether the request must never be executed twice.
     pub non_idempotent: bool,
-    /// From when on no attempt may begin: endpoints may have forgotten by then that they executed the request.
+    /// From when on no attempt may begin: endpoints may have forgotten by then that they executed the
+    /// request.
     pub begin_by: Cell<Option<Instant>>,
     /// Whether the client has disconnected. An attempt of which nothing is written yet is then not sent.
     pub client_disconnected: Cell<bool>,
@@ -50,8 +51,8 @@
         }
     }
 
-    /// Whether an attempt may begin now. While its connection was opened the body may have been forwarded to another
-    /// endpoint, the client may have disconnected, or the time may have passed.
+    /// Whether an attempt may begin now. While its connection was opened the body may have been forwarded to
+    /// another endpoint, the client may have disconnected, or the time may have passed.
     pub(super) fn may_begin(&self) -> bool {
         let in_time = self.begin_by.get().is_none_or(|begin_by| Instant::now() < begin_by);
         self.body.is_replayable() && !self.client_disconnected.get() && in_time
@@ -70,16 +71,16 @@
         }
     }
 
-    /// Whether the endpoint has read nothing of a body that is being forwarded for as long as the client would wait
-    /// for the response, and at least [`MIN_UPLOAD_STALL_TIMEOUT`].
+    /// Whether the endpoint has read nothing of a body that is being forwarded for as long as the client
+    /// would wait for the response, and at least [`MIN_UPLOAD_STALL_TIMEOUT`].
     fn is_upload_stalled(&self) -> bool {
         let RequestBody::Streamed(stream) = &self.body else { return false };
         matches!(stream.progress(), UploadProgress::Forwarding)
             && stream.unpolled_for() >= self.timeout.max(MIN_UPLOAD_STALL_TIMEOUT)
     }
 
-    /// Whether the last byte of the request may be on the socket, once `written` bytes of it are, `head_length` of
-    /// them for the head.
+    /// Whether the last byte of the request may be on the socket, once `written` bytes of it are,
+    /// `head_length` of them for the head.
     pub(super) fn may_be_complete(&self, head_length: u64, written: u64) -> bool {
         match self.body.length() {
             Some(body_length) => written >= head_length + body_length,
@@ -87,7 +88,8 @@
         }
     }
 
-    /// The HTTP request, with the time that is left in its deadline header. `None` if that is no header value.
+    /// The HTTP request, with the time that is left in its deadline header. `None` if that is no header
+    /// value.
     pub(super) fn to_http(&self) -> Option<Request<OutboundBody>> {
         let elapsed = self.received_at().map_or(Duration::ZERO, |at| at.elapsed());
         let remaining = self.timeout.saturating_sub(elapsed).as_secs_f64();
--- a/src/node/upstream/response.rs
+++ b/src/node/upstream/response.rs
@@ -17,8 +17,8 @@
 }
 
 impl ResponseFraming {
-    /// The framing of a response with these headers; `None` if it is ambiguous or missing, as a part of such a
-    /// response would look complete.
+    /// The framing of a response with these headers; `None` if it is ambiguous or missing, as a part of such
+    /// a response would look complete.
     pub fn of(headers: &HeaderMap) -> Option<ResponseFraming> {
         let encodings: Vec<&HeaderValue> = headers.get_all(header::TRANSFER_ENCODING).iter().collect();
         match (&encodings[..], headers.contains_key(header::CONTENT_LENGTH)) {
--- a/src/node/upstream/stale_connections.rs
+++ b/src/node/upstream/stale_connections.rs
@@ -1,23 +1,23 @@
 //! After how long an idle connection is stale, learned from connections that broke under a request.
 //!
-//! A firewall or proxy on the way may drop the state of a connection that has been idle for some time, and show that
-//! only at the next request. Elsewhere connections break whether they are new or reused, and to open more of them
-//! helps nobody. To tell the two apart, uses and breaks of connections are counted: those of new connections, and
-//! those of reused ones by how long they had been idle, in buckets of half an octave. All counts decay with the time
-//! constant [`MEMORY`].
+//! A firewall or proxy on the way may drop the state of a connection that has been idle for some time, and
+//! show that only at the next request. Elsewhere connections break whether they are new or reused, and to
+//! open more of them helps nobody. To tell the two apart, uses and breaks of connections are counted: those
+//! of new connections, and those of reused ones by how long they had been idle, in buckets of half an octave.
+//! All counts decay with the time constant [`MEMORY`].
 //!
-//! For each bucket `i` let `u` and `b` be the uses and breaks in the buckets from `i` on, and `U` and `B` those of all
-//! shorter idle times and of new connections. Then
+//! For each bucket `i` let `u` and `b` be the uses and breaks in the buckets from `i` on, and `U` and `B`
+//! those of all shorter idle times and of new connections. Then
 //!
 //! ```text
 //! baseline  p = (B + 1) / (U + PRIOR_USES)
 //! evidence  e = b ln((b / u) / p) + (u - b) ln(((u - b) / u) / (1 - p))
 //! ```
 //!
-//! where `e` is the logarithm of the ratio of two likelihoods: that connections of that idle time and longer break at
-//! a rate of their own, and that they break at the baseline. The limit is the start of the bucket with the largest
-//! `e`, among those with `e >= MIN_EVIDENCE` and `b > (p + margin) u`. What breaks after some time breaks after a
-//! longer one too, so one limit is enough.
+//! where `e` is the logarithm of the ratio of two likelihoods: that connections of that idle time and longer
+//! break at a rate of their own, and that they break at the baseline. The limit is the start of the bucket
+//! with the largest `e`, among those with `e >= MIN_EVIDENCE` and `b > (p + margin) u`. What breaks after
+//! some time breaks after a longer one too, so one limit is enough.
 
 use std::cell::RefCell;
 use std::ops::Add;
@@ -33,17 +33,18 @@
 const BUCKETS: usize = 26;
 /// How many buckets an octave of idle times has.
 const BUCKETS_PER_OCTAVE: f64 = 2.0;
-/// The time constant of the counts' decay. A limit is lifted, and longer idle times are tried again, once their
-/// breaks are forgotten.
+/// The time constant of the counts' decay. A limit is lifted, and longer idle times are tried again, once
+/// their breaks are forgotten.
 const MEMORY: Duration = Duration::from_secs(20);
 /// The prior of the baseline: one break in so many uses, as connections break everywhere at times.
 const PRIOR_USES: f64 = 20.0;
-/// The least evidence for a limit, as the natural logarithm of a likelihood ratio. A node in a large fleet sees few
-/// requests a second, and to it a single break proves nothing.
+/// The least evidence for a limit, as the natural logarithm of a likelihood ratio. A node in a large fleet
+/// sees few requests a second, and to it a single break proves nothing.
 const MIN_EVIDENCE: f64 = 4.0;
 /// An idle time counts as tried if its bucket has so many uses.
 const MIN_TRIED_USES: f64 = 0.5;
-/// How much more often than the baseline a reused connection may break, as a probability: what a handshake costs.
+/// How much more often than the baseline a reused connection may break, as a probability: what a handshake
+/// costs.
 const HANDSHAKE_MARGIN: f64 = 0.2;
 /// The same for a non-idempotent request, which is lost with its connection.
 const NON_IDEMPOTENT_MARGIN: f64 = 0.05;
@@ -152,7 +153,8 @@
         let (mut most_evidence, mut stale_from) = (MIN_EVIDENCE, None);
         for (bucket, uses) in reused.iter().enumerate() {
             let baseline = shorter.break_rate();
-            // Summed for each bucket: the rounding errors of a running difference would look like strong evidence.
+            // Summed for each bucket: the rounding errors of a running difference would look like strong
+            // evidence.
             let longer = reused[bucket..].iter().fold(Uses::default(), |sum, uses| sum + *uses);
             let evidence = longer.evidence_against(baseline);
             if longer.broken > (baseline + margin) * longer.total && evidence >= most_evidence {
--- a/src/node/upstream/stall.rs
+++ b/src/node/upstream/stall.rs
@@ -16,8 +16,8 @@
 /// How many informational responses (1xx) may precede a response.
 const MAX_INFORMATIONAL_RESPONSES: usize = 16;
 
-/// Counts the informational responses (1xx) that a request has received. hyper wants its callback to be `Send`, hence
-/// the atomic.
+/// Counts the informational responses (1xx) that a request has received. hyper wants its callback to be
+/// `Send`, hence the atomic.
 pub struct InformationalCounter(Arc<AtomicUsize>);
 
 impl InformationalCounter {
@@ -38,8 +38,8 @@
 
 /// Returns when a response has begun to arrive on the socket and does not continue.
 ///
-/// An informational response may precede the final one by any time, so that silence after one is not a stall; but
-/// there may be only so many of them.
+/// An informational response may precede the final one by any time, so that silence after one is not a stall;
+/// but there may be only so many of them.
 pub async fn response_stalled(socket: &UpstreamSocket, informational: &InformationalCounter) {
     let mut count_before = 0;
     loop {
--- a/src/settings_format.rs
+++ b/src/settings_format.rs
@@ -1,9 +1,10 @@
 //! The text form of [`Settings`]: one `path=value` pair a line.
 //!
-//! The simulator sends settings in this form, and the node's configuration is brought to it, so that both read them
-//! with the same code. A list of objects has its length under `LIST.count` and its objects under `LIST.0`, `LIST.1` and
-//! so on. The paths are those of `../given/docs/WIRE-mothspool.md`, "Start-up settings"; unknown ones are skipped, and
-//! an absent one has its value in [`Settings::default`] unless a constant here says otherwise.
+//! The simulator sends settings in this form, and the node's configuration is brought to it, so that both
+//! read them with the same code. A list of objects has its length under `LIST.count` and its objects under
+//! `LIST.0`, `LIST.1` and so on. The paths are those of `../given/docs/WIRE-mothspool.md`, "Start-up
+//! settings"; unknown ones are skipped, and an absent one has its value in [`Settings::default`] unless a
+//! constant here says otherwise.
 
 use std::collections::BTreeMap;
 use std::str::{FromStr, Utf8Error};
@@ -221,7 +222,8 @@
     ) -> Result<Vec<T>, SettingsFormatError> {
         let count = self.value(&format!("{list}.count"), 0)?;
         let lines = self.0.len();
-        // Each object has at least one line of its own: no count makes the node allocate more than it was sent.
+        // Each object has at least one line of its own: no count makes the node allocate more than it was
+        // sent.
         if count > lines {
             return Err(SettingsFormatError::TooManyObjects { list, count, lines });
         }
--- a/src/simulator/decode.rs
+++ b/src/simulator/decode.rs
@@ -191,7 +191,8 @@
     }
 }
 
-/// A weight that is infinite or not a number counts as unknown (zero), lest it spoils averages over endpoints.
+/// A weight that is infinite or not a number counts as unknown (zero), lest it spoils averages over
+/// endpoints.
 fn endpoint_weight(nominal: f32) -> f64 {
     match nominal.is_finite() {
         true => f64::from(nominal.max(0.0)),
