--- a/src/node/admin/commands.rs
+++ b/src/node/admin/commands.rs
@@ -16,7 +16,7 @@
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The largest body of a request, in bytes.
-const MAX_BODY: usize = 4096;
+const MAX_BODY_BYTES: usize = 4096;
 
 /// A command of an operator.
 #[derive(Debug, PartialEq)]
@@ -134,7 +134,7 @@
 
 /// Reads the complete body of a request.
 pub async fn read_body(body: Incoming) -> Result<Bytes, CommandError> {
-    match timeout(REQUEST_TIMEOUT, Limited::new(body, MAX_BODY).collect()).await {
+    match timeout(REQUEST_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(CommandError::BodyTooLarge),
         Ok(Err(_)) => Err(CommandError::BodyBroken),
--- a/src/node/admin/listener.rs
+++ b/src/node/admin/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts callers of the admin API and serves one request on each connection.
+//! Accepts connections to the admin API and serves one request on each.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -16,19 +16,19 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::commands::{CommandError, REQUEST_TIMEOUT, Route, read_body};
-use super::responses::{AdminResponse, reject};
+use super::responses::{AdminResponse, error_response};
 use super::service::AdminService;
 use crate::config::MAX_ADMIN_CALLS;
 use crate::net::DownstreamSocket;
 
-/// How long a connection may last, until the caller has read its response.
+/// Longest duration of a connection, until the caller has read the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How long accepting pauses when it fails, for want of descriptors as a rule.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// A caller's connection.
-struct Caller {
+/// An open connection to the admin API.
+struct AdminConnection {
     /// Whether its request has been read.
     request_read: Rc<Cell<bool>>,
     /// Serves the connection; dropped, it ends it.
@@ -37,34 +37,34 @@
 
 /// The open connections, oldest first, no more than there are descriptors set aside for.
 #[derive(Default)]
-struct Callers(VecDeque<Caller>);
+struct AdminConnections(VecDeque<AdminConnection>);
 
-impl Callers {
-    /// Takes in a new connection; if there are too many, another one is closed.
-    fn admit(&mut self, stream: TcpStream, service: Rc<AdminService>) {
-        self.0.retain(|caller| !caller.task.is_finished());
+impl AdminConnections {
+    /// Adds a new connection. If there are [`MAX_ADMIN_CALLS`] already, closes one of them.
+    fn insert(&mut self, stream: TcpStream, service: Rc<AdminService>) {
+        self.0.retain(|connection| !connection.task.is_finished());
         if self.0.len() >= MAX_ADMIN_CALLS {
             self.evict_one();
         }
         let request_read = Rc::new(Cell::new(false));
         let task = tokio::task::spawn_local(serve_connection(stream, service, request_read.clone()));
-        self.0.push_back(Caller { request_read, task: AbortOnDropHandle::new(task) });
+        self.0.push_back(AdminConnection { request_read, task: AbortOnDropHandle::new(task) });
     }
 
-    /// Closes the connection that has been silent for longest. Callers whose request has been read are owed a
-    /// response; only where there are no others does the oldest of them go.
+    /// Closes the oldest connection whose request has not been read yet. If all requests have been read, closes
+    /// the oldest connection although its response is pending.
     fn evict_one(&mut self) {
-        let longest_silent = self.0.iter().position(|caller| !caller.request_read.get());
+        let longest_silent = self.0.iter().position(|connection| !connection.request_read.get());
         self.0.remove(longest_silent.unwrap_or(0));
     }
 }
 
 /// Serves the admin API on `listener` for as long as the process runs.
 pub async fn listen(listener: TcpListener, service: Rc<AdminService>) {
-    let mut callers = Callers::default();
+    let mut connections = AdminConnections::default();
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => callers.admit(stream, service.clone()),
+            Ok((stream, _)) => connections.insert(stream, service.clone()),
             Err(_) => sleep(ACCEPT_BACKOFF).await,
         }
     }
@@ -77,9 +77,9 @@
         let (service, request_read, observer) = (service.clone(), request_read.clone(), observer.clone());
         async move {
             let response =
-                handle(request, &service, &request_read).await.unwrap_or_else(|error| reject(&error));
+                handle(request, &service, &request_read).await.unwrap_or_else(|error| error_response(&error));
             if response.status().is_client_error() {
-                // The caller may still be sending.
+                // The caller may still be sending its request.
                 observer.linger();
             }
             Ok::<_, Infallible>(response)
@@ -87,7 +87,7 @@
     });
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new()).header_read_timeout(REQUEST_TIMEOUT).keep_alive(false);
-    // A caller that breaks off gets no response; there is nothing to do about an error.
+    // An error means that the caller has disconnected: there is nobody left to respond to.
     let _ = timeout(CONNECTION_TIMEOUT, builder.serve_connection(TokioIo::new(socket), respond)).await;
 }
 
--- a/src/node/admin/responses.rs
+++ b/src/node/admin/responses.rs
@@ -24,16 +24,16 @@
 }
 
 /// A response that shows how the node is.
-pub fn show(status: StatusCode, node: &NodeStatus) -> AdminResponse {
+pub fn status_response(status: StatusCode, node: &NodeStatus) -> AdminResponse {
     let body = json!({"phase": node.phase, "able": node.ready, "maintenance": node.maintenance});
-    let mut response = respond(status, format!("{body}\n"));
+    let mut response = build_response(status, format!("{body}\n"));
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
 /// The response to a command that was not carried out.
-pub fn reject(error: &CommandError) -> AdminResponse {
-    let mut response = respond(status_of(error), format!("{error}\n"));
+pub fn error_response(error: &CommandError) -> AdminResponse {
+    let mut response = build_response(status_code(error), format!("{error}\n"));
     if let CommandError::WrongMethod { allowed } = error
         && let Ok(allowed) = HeaderValue::from_str(allowed.as_str())
     {
@@ -42,13 +42,13 @@
     response
 }
 
-fn respond(status: StatusCode, body: String) -> AdminResponse {
+fn build_response(status: StatusCode, body: String) -> AdminResponse {
     let mut response = Response::new(Full::from(body));
     *response.status_mut() = status;
     response
 }
 
-fn status_of(error: &CommandError) -> StatusCode {
+fn status_code(error: &CommandError) -> StatusCode {
     match error {
         CommandError::UnknownPath | CommandError::UnknownEndpoint => StatusCode::NOT_FOUND,
         CommandError::WrongMethod { .. } => StatusCode::METHOD_NOT_ALLOWED,
--- a/src/node/admin/service.rs
+++ b/src/node/admin/service.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use super::commands::{Command, CommandError};
-use super::responses::{AdminResponse, NodeStatus, show};
+use super::responses::{AdminResponse, NodeStatus, status_response};
 use crate::engine::EngineHandle;
 use crate::lifecycle::Lifecycle;
 use crate::log::ErrorChain;
@@ -18,7 +18,7 @@
 
 /// How long a response waits for the node's other process to have read the new state: two poll intervals of
 /// [`crate::state_store::POLL_INTERVAL`], and a little for its work.
-const PROPAGATION_TIME: Duration = Duration::from_millis(120);
+const PROPAGATION_DELAY: Duration = Duration::from_millis(120);
 
 /// Changes the state of the node as operators command, and brings this process in line with it.
 pub struct AdminService {
@@ -55,7 +55,7 @@
     /// Carries out a command. The response is successful once all processes of the node go by it.
     pub async fn execute(&self, command: Command) -> Result<AdminResponse, CommandError> {
         match command {
-            Command::Status => return Ok(self.show_status()),
+            Command::Status => return Ok(self.report_status()),
             Command::EnterStandby => self.update(|state| state.standby = true).await?,
             Command::ExitStandby => self.update(|state| state.standby = false).await?,
             Command::EnterMaintenance { uid } => {
@@ -67,7 +67,7 @@
                 self.update(|state| state.exit_maintenance(&uid, unix_time())).await?;
             }
         }
-        Ok(show(StatusCode::OK, &self.node_status()))
+        Ok(status_response(StatusCode::OK, &self.node_status()))
     }
 
     /// Changes the state, and returns once all processes go by it.
@@ -77,7 +77,7 @@
             return Err(CommandError::StateNotWritten(error));
         }
         self.reconcile();
-        sleep(PROPAGATION_TIME).await;
+        sleep(PROPAGATION_DELAY).await;
         Ok(())
     }
 
@@ -90,9 +90,9 @@
         }
     }
 
-    fn show_status(&self) -> AdminResponse {
+    fn report_status(&self) -> AdminResponse {
         let status = if self.lifecycle.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        show(status, &self.node_status())
+        status_response(status, &self.node_status())
     }
 
     fn node_status(&self) -> NodeStatus {
--- a/src/node/downstream/exchange.rs
+++ b/src/node/downstream/exchange.rs
@@ -60,7 +60,7 @@
         answer = answer => answer,
         error = upload_failed(body) => return Err(error.into()),
         () = observer.closed() => return Err(RequestError::ClientDisconnected),
-        () = lifecycle.shutdown_deadline() => {
+        () = lifecycle.wait_for_shutdown_deadline() => {
             return Ok(plain(StatusCode::GATEWAY_TIMEOUT, "the node is leaving"));
         }
     };
--- a/src/node/downstream/health.rs
+++ b/src/node/downstream/health.rs
@@ -14,7 +14,7 @@
     if method != Method::GET && method != Method::HEAD {
         return plain(StatusCode::METHOD_NOT_ALLOWED, "GET only");
     }
-    match lifecycle.welcomes_clients() {
+    match lifecycle.passes_health_check() {
         true => plain(StatusCode::OK, "ok"),
         false => plain(StatusCode::SERVICE_UNAVAILABLE, "not serving"),
     }
--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -76,7 +76,7 @@
     /// close with their responses.
     pub async fn run_standby_drain(&self) {
         loop {
-            self.lifecycle.standby().await;
+            self.lifecycle.wait_for_standby().await;
             sleep(STANDBY_SWEEP_INTERVAL).await;
             if self.lifecycle.is_standby() {
                 self.connections.close_idle(STANDBY_IDLE_TIMEOUT);
--- a/src/node/downstream/service.rs
+++ b/src/node/downstream/service.rs
@@ -96,6 +96,6 @@
     fn must_close(&self, connection: &Connection) -> bool {
         self.connections.exceeds_keep_alive_limit()
             || connection.is_closing()
-            || !self.lifecycle.keeps_connections()
+            || !self.lifecycle.allows_keep_alive()
     }
 }
--- a/src/node/lifecycle/hot_restart.rs
+++ b/src/node/lifecycle/hot_restart.rs
@@ -26,7 +26,7 @@
 
 /// How long after the last start of a process the descriptors are shared. By then one of the two has ended:
 /// the platform has replaced the older one, or the younger one has failed.
-const SHARING_TIME: Duration = Duration::from_secs(11);
+const DESCRIPTOR_SHARING_PERIOD: Duration = Duration::from_secs(11);
 
 /// This process's part in hot restarts, as predecessor and as successor.
 pub struct HotRestart<C> {
@@ -34,11 +34,11 @@
     lifecycle: Rc<Lifecycle>,
     connections: Rc<C>,
     /// The start number of this process, from 1.
-    own_start: u64,
+    start_number: u64,
     started_at: Instant,
     /// The start number of the node's youngest process, and since when it has been the youngest one.
-    latest_start: u64,
-    latest_start_since: Instant,
+    latest_start_number: u64,
+    latest_start_observed_at: Instant,
     /// The start number of the process that descriptors were last released to; this process's own if there
     /// was none.
     released_to: u64,
@@ -51,8 +51,8 @@
         lifecycle: Rc<Lifecycle>,
         connections: Rc<C>,
     ) -> HotRestart<C> {
-        let mut own_start = 0;
-        if let Err(error) = store.update(|state| own_start = state.register_process()).await {
+        let mut start_number = 0;
+        if let Err(error) = store.update(|state| start_number = state.register_process()).await {
             log!("this process is not counted in the state file: {}", ErrorChain(&error));
         }
         let now = Instant::now();
@@ -60,11 +60,11 @@
             store,
             lifecycle,
             connections,
-            own_start,
+            start_number,
             started_at: now,
-            latest_start: own_start,
-            latest_start_since: now,
-            released_to: own_start,
+            latest_start_number: start_number,
+            latest_start_observed_at: now,
+            released_to: start_number,
         }
     }
 
@@ -82,42 +82,42 @@
 
     /// Does what is due at `now`.
     fn step(&mut self, now: Instant) {
-        self.observe_latest_start(now);
+        self.update_latest_start_number(now);
         self.connections.share_descriptors(self.shares_descriptors(now));
         if self.can_release_descriptors(now) {
-            self.store.release_descriptors(self.latest_start);
-            self.released_to = self.latest_start;
+            self.store.release_descriptors(self.latest_start_number);
+            self.released_to = self.latest_start_number;
         }
-        if self.has_own_descriptors(now) {
-            self.lifecycle.descriptors_available();
+        if self.are_descriptors_available(now) {
+            self.lifecycle.mark_descriptors_available();
         }
     }
 
-    fn observe_latest_start(&mut self, now: Instant) {
-        let latest_start = self.store.state().process_starts;
-        if latest_start != self.latest_start {
-            self.latest_start = latest_start;
-            self.latest_start_since = now;
+    fn update_latest_start_number(&mut self, now: Instant) {
+        let latest_start_number = self.store.state().process_starts;
+        if latest_start_number != self.latest_start_number {
+            self.latest_start_number = latest_start_number;
+            self.latest_start_observed_at = now;
         }
     }
 
     /// Whether another process may hold descriptors too.
     fn shares_descriptors(&self, now: Instant) -> bool {
-        self.latest_start > 1 && now - self.latest_start_since < SHARING_TIME
+        self.latest_start_number > 1 && now - self.latest_start_observed_at < DESCRIPTOR_SHARING_PERIOD
     }
 
     /// Whether a successor waits for descriptors, and this process keeps to its half or has tried for long
     /// enough.
     fn can_release_descriptors(&self, now: Instant) -> bool {
-        self.latest_start > self.released_to
-            && (!self.connections.exceeds_limit() || now - self.latest_start_since >= RELEASE_TIMEOUT)
+        self.latest_start_number > self.released_to
+            && (!self.connections.exceeds_limit() || now - self.latest_start_observed_at >= RELEASE_TIMEOUT)
     }
 
     /// Whether no predecessor keeps this process from its part of the descriptors.
-    fn has_own_descriptors(&self, now: Instant) -> bool {
-        self.own_start <= 1
+    fn are_descriptors_available(&self, now: Instant) -> bool {
+        self.start_number <= 1
             || now - self.started_at >= AWAIT_RELEASE_TIMEOUT
-            || self.store.were_descriptors_released(self.own_start)
+            || self.store.were_descriptors_released(self.start_number)
     }
 }
 
--- a/src/node/lifecycle/mod.rs
+++ b/src/node/lifecycle/mod.rs
@@ -84,16 +84,16 @@
         }
     }
 
-    /// Keeps a process that is not ready yet from becoming so until [`Lifecycle::descriptors_available`] is
-    /// called.
-    pub fn await_descriptors(&self) {
+    /// Keeps a process that is not ready yet from becoming ready until
+    /// [`Lifecycle::mark_descriptors_available`] is called.
+    pub fn require_descriptors(&self) {
         if self.readiness.get() == Readiness::AwaitingEndpoint {
             self.readiness.set(Readiness::AwaitingDescriptors);
         }
     }
 
     /// The process has its part of the node's descriptors.
-    pub fn descriptors_available(&self) {
+    pub fn mark_descriptors_available(&self) {
         if self.readiness.get() == Readiness::AwaitingDescriptors {
             self.readiness.set(Readiness::AwaitingEndpoint);
         }
@@ -109,16 +109,16 @@
 
     /// Whether the health check of the front is answered with success: the node takes new clients, in this
     /// process or in its successor.
-    pub fn welcomes_clients(&self) -> bool {
-        let welcome = match self.phase.get() {
+    pub fn passes_health_check(&self) -> bool {
+        let accepts_clients = match self.phase.get() {
             Phase::Serving | Phase::Draining { successor: Some(Successor { standby: false }) } => true,
             Phase::Standby | Phase::Draining { .. } => false,
         };
-        self.is_ready() && welcome
+        self.is_ready() && accepts_clients
     }
 
     /// Whether connections stay open after a response.
-    pub fn keeps_connections(&self) -> bool {
+    pub fn allows_keep_alive(&self) -> bool {
         self.phase.get() == Phase::Serving
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// Waits until the node is in standby.
-    pub async fn standby(&self) {
+    pub async fn wait_for_standby(&self) {
         while !self.is_standby() {
             self.standby_changed.notified().await;
         }
@@ -173,7 +173,7 @@
     }
 
     /// Waits for the shutdown deadline.
-    pub async fn shutdown_deadline(&self) {
+    pub async fn wait_for_shutdown_deadline(&self) {
         self.shutdown_deadline.cancelled().await;
     }
 }
--- a/src/node/lifecycle/shutdown.rs
+++ b/src/node/lifecycle/shutdown.rs
@@ -18,7 +18,7 @@
 
 /// How long after SIGTERM connections are accepted: "new connections keep arriving for 0.2 to 0.4 s"
 /// (protocol, Figures).
-const ACCEPT_GRACE: Duration = Duration::from_millis(500);
+const ACCEPT_GRACE_PERIOD: Duration = Duration::from_millis(500);
 
 /// The longest request deadline that the shutdown deadline allows for: "SIGKILL arrives no earlier than the
 /// longest deadline (taken as 3 s where it is longer) plus 0.7 s after SIGTERM" (protocol, Figures).
@@ -61,7 +61,7 @@
             // after their next response.
             self.accept_task.abort();
         }
-        sleep(ACCEPT_GRACE).await;
+        sleep(ACCEPT_GRACE_PERIOD).await;
         self.stop_accepting.notify_one();
         let mut drained = pin!(drain(&*self.connections, &mut self.accept_task));
         if timeout_at(deadline, drained.as_mut()).await.is_err() {
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -11,7 +11,11 @@
 /// Reads the configuration at `path` at each `hang_up` signal, for as long as the process runs. Only
 /// discovery's address changes while a node runs; it is sent to `discovery_address`. A file that is invalid
 /// changes nothing.
-pub async fn follow(path: String, mut hang_up: Signal, discovery_address: watch::Sender<SocketAddr>) {
+pub async fn reload_on_sighup(
+    path: String,
+    mut hang_up: Signal,
+    discovery_address: watch::Sender<SocketAddr>,
+) {
     while hang_up.recv().await.is_some() {
         match Config::read(&path) {
             Ok(config) => {
--- a/src/node/startup/mod.rs
+++ b/src/node/startup/mod.rs
@@ -101,7 +101,7 @@
         let swept = upstream.clone();
         spawn_local(async move { swept.run_idle_sweep().await });
         let (discovery_moved, discovery_address) = watch::channel(config.discovery);
-        spawn_local(reload::follow(path, hang_up, discovery_moved));
+        spawn_local(reload::reload_on_sighup(path, hang_up, discovery_moved));
         spawn_local(discovery::follow(config.clone(), discovery_address, engine_handle.clone(), subscribe));
         let downstream = Rc::new(DownstreamServer::new(
             config.clone(),
@@ -118,7 +118,7 @@
         log!("{} has its admin API on {}", self.config.name, local_address("operator", &listener)?);
         let store = Rc::new(StateStore::open(&std::env::temp_dir(), &self.config.name));
         if self.shares_listener {
-            self.lifecycle.await_descriptors();
+            self.lifecycle.require_descriptors();
         }
         let service = Rc::new(AdminService::new(store.clone(), self.lifecycle.clone(), self.engine.clone()));
         let (lifecycle, connections) = (self.lifecycle.clone(), self.downstream.clone());
--- a/src/node/state_store/mod.rs
+++ b/src/node/state_store/mod.rs
@@ -124,8 +124,8 @@
     /// Locks the state file against other writers until the returned file is dropped.
     async fn lock(&self) -> Result<File, StateError> {
         let path = self.path.with_extension("lock");
-        let failed = |source| StateError::Lock { path: path.clone(), source };
-        let file = File::create(&path).map_err(failed)?;
+        let lock_error = |source| StateError::Lock { path: path.clone(), source };
+        let file = File::create(&path).map_err(lock_error)?;
         let deadline = Instant::now() + LOCK_TIMEOUT;
         while let Err(error) = file.try_lock() {
             match error {
@@ -133,7 +133,7 @@
                 TryLockError::WouldBlock => {
                     return Err(StateError::LockTimedOut { path, timeout: LOCK_TIMEOUT });
                 }
-                TryLockError::Error(source) => return Err(failed(source)),
+                TryLockError::Error(source) => return Err(lock_error(source)),
             }
         }
         Ok(file)
--- a/tests/node/admin.rs
+++ b/tests/node/admin.rs
@@ -13,12 +13,12 @@
 }
 
 #[test]
-fn invalid_calls_get_an_error_and_change_nothing() {
+fn rejects_invalid_requests_without_changing_state() {
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir());
     assert_eq!(node.admin_request("GET", "/status", "").status(), 200);
     let enter = "/maintenance/enter";
-    let large = format!("{{\"host\":\"a\",\"why\":\"{}\"}}", "x".repeat(100_000));
+    let oversized = format!("{{\"host\":\"a\",\"why\":\"{}\"}}", "x".repeat(100_000));
     let invalid = [
         ("GET", "/", "", 404),
         ("POST", "/maintenance", "", 404),
@@ -37,16 +37,16 @@
         ("POST", enter, "\"a\"", 400),
         ("POST", enter, "{\"host\":\"nobody\"}", 404),
         ("POST", "/maintenance/exit", "{\"host\":\"nobody\"}", 404),
-        ("POST", enter, &large, 413),
-        ("POST", "/standby", &large, 413),
+        ("POST", enter, &oversized, 413),
+        ("POST", "/standby", &oversized, 413),
     ];
     for (method, path, body, status) in invalid {
         assert_eq!(node.admin_request(method, path, body).status(), status, "{method} {path} {body:.60}");
     }
-    let mut half = node.admin_client();
-    half.send(b"POST /maintenance/enter HTTP/1.1\r\nHost: n\r\nContent-Length: 12\r\n\r\n{\"host\"");
-    half.stream.shutdown(std::net::Shutdown::Write).unwrap();
-    assert!(half.reaches_close(), "a truncated call is none");
+    let mut truncated = node.admin_client();
+    truncated.send(b"POST /maintenance/enter HTTP/1.1\r\nHost: n\r\nContent-Length: 12\r\n\r\n{\"host\"");
+    truncated.stream.shutdown(std::net::Shutdown::Write).unwrap();
+    assert!(truncated.reaches_close(), "a truncated call is none");
     assert_eq!(node.admin_status()["maintenance"], json!([]));
     assert_eq!(node.admin_status()["phase"], "serving");
     assert_eq!((node.health(), node.client().exchange(&view_request()).status()), (200, 200));
@@ -58,15 +58,15 @@
 }
 
 #[test]
-fn stalled_callers_and_busy_clients_do_not_delay_calls() {
+fn stalled_callers_and_busy_clients_do_not_delay_commands() {
     let upstream = UpstreamServer::new(|_, _| Reply::Never);
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 64, &state_dir());
     let mut clients: Vec<Connection> = (0..200).map(|_| node.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&request("GET", "/view/1", "9", "", "")));
     let mut stalled: Vec<Connection> = (0..100).map(|_| node.admin_client()).collect();
     stalled.iter_mut().skip(30).for_each(|caller| caller.send(b"POST /standby HTTP/1.1\r\nHo"));
-    let short = b"POST /standby HTTP/1.1\r\nHost: n\r\nContent-Length: 5\r\n\r\nha";
-    stalled.iter_mut().skip(60).for_each(|caller| caller.send(short));
+    let incomplete = b"POST /standby HTTP/1.1\r\nHost: n\r\nContent-Length: 5\r\n\r\nha";
+    stalled.iter_mut().skip(60).for_each(|caller| caller.send(incomplete));
     for _ in 0..5 {
         let started = Instant::now();
         assert_eq!(node.admin_request("GET", "/status", "").status(), 200);
@@ -79,12 +79,14 @@
 }
 
 #[test]
-fn an_invalid_state_file_is_ignored_and_replaced() {
+fn ignores_and_replaces_an_invalid_state_file() {
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
-    let other =
+    let other_version =
         json!({"version": 2, "orders": {"starts": 1, "standby": true, "maintenance": [], "returned": {}}});
-    let fields = json!({"version": 1, "orders": {"starts": 1, "standby": true}});
-    for text in ["", "{\"version\":1,", "\u{0}\u{1}", "[]", &other.to_string(), &fields.to_string()] {
+    let missing_fields = json!({"version": 1, "orders": {"starts": 1, "standby": true}});
+    for text in
+        ["", "{\"version\":1,", "\u{0}\u{1}", "[]", &other_version.to_string(), &missing_fields.to_string()]
+    {
         let state_dir = state_dir();
         fs::write(state_file(&state_dir), text).unwrap();
         let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir);
@@ -96,7 +98,7 @@
 }
 
 #[test]
-fn a_call_whose_state_cannot_be_stored_fails_and_changes_nothing() {
+fn a_command_whose_state_cannot_be_written_fails_and_changes_nothing() {
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
     let state_dir = state_dir();
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir);
--- a/tests/node/hot_restart.rs
+++ b/tests/node/hot_restart.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_process_without_endpoints_does_not_accept() {
+fn a_process_without_endpoints_accepts_no_connections() {
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
     let new = Node::with_inherited_listener(&[], &listener, &state_dir);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn concurrent_calls_to_both_processes_all_take_effect() {
+fn concurrent_commands_to_both_processes_all_take_effect() {
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let targets: Vec<Value> = names.iter().map(|uid| ready_endpoint(uid, &upstream)).collect();
@@ -128,25 +128,25 @@
 }
 
 #[test]
-fn an_invalid_inherited_socket_is_reported_and_exits() {
+fn exits_with_an_error_on_an_invalid_inherited_socket() {
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
     let old = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
     let config = old.config_with_discovery(&old.discovery);
     let connected = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let no_socket = fs::File::open("/dev/null").unwrap();
-    let named = |mut command: Command, number: &str| {
+    let with_socket_number = |mut command: Command, number: &str| {
         command.env("GW_PASSED_SOCKET", number);
         command
     };
     let invalid = [
         command_with_inherited_socket(&connected),
         command_with_inherited_socket(&no_socket),
-        named(command_with_inherited_socket(&listener), "6"),
-        named(command_with_inherited_socket(&listener), "five"),
-        named(command_with_inherited_socket(&listener), "-1"),
-        named(command_with_inherited_socket(&listener), "0"),
-        named(command_with_inherited_socket(&listener), ""),
+        with_socket_number(command_with_inherited_socket(&listener), "6"),
+        with_socket_number(command_with_inherited_socket(&listener), "five"),
+        with_socket_number(command_with_inherited_socket(&listener), "-1"),
+        with_socket_number(command_with_inherited_socket(&listener), "0"),
+        with_socket_number(command_with_inherited_socket(&listener), ""),
     ];
     for mut command in invalid {
         let child =
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn two_processes_share_the_descriptors_of_one() {
+fn two_processes_together_stay_within_the_descriptor_limit() {
     const SOCKETS: usize = 160;
     let upstream = UpstreamServer::new(|_, _| Reply::Never);
     let targets: Vec<Value> = (0..12).map(|n| ready_endpoint(&format!("s{n}"), &upstream)).collect();
--- a/tests/node/maintenance.rs
+++ b/tests/node/maintenance.rs
@@ -8,9 +8,9 @@
 use crate::support::*;
 
 #[test]
-fn an_endpoint_in_maintenance_gets_nothing_whatever_the_list_says() {
-    let turns = AtomicUsize::new(0);
-    let one = UpstreamServer::new(move |_, _| match turns.fetch_add(1, Ordering::SeqCst) {
+fn an_endpoint_in_maintenance_gets_no_requests_whatever_discovery_reports() {
+    let request_number = AtomicUsize::new(0);
+    let one = UpstreamServer::new(move |_, _| match request_number.fetch_add(1, Ordering::SeqCst) {
         1 => Reply::SendDelayed(Vec::new(), Duration::from_millis(1500), response(200, "", "late")),
         _ => ok("one"),
     });
@@ -29,13 +29,13 @@
     assert_eq!(node.admin_status()["maintenance"], json!(["a"]));
     assert_eq!(node.client().exchange(&view_request()).status(), 503, "no other endpoint is ready");
     assert_eq!(waiting.receive().body, b"late", "it finishes what it has");
-    let mut started = ready_endpoint("a", &one);
-    started["boot_ms"] = 1.into();
+    let mut restarted = ready_endpoint("a", &one);
+    restarted["boot_ms"] = 1.into();
     let mut rev = 50;
     for entry in [
         endpoint_entry("a", one.address, 1, "draining"),
         endpoint_entry("a", one.address, 1, "gone"),
-        started,
+        restarted,
     ] {
         rev += 1;
         watch.send_delta(rev, &[entry, ready_endpoint("b", &two)]);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_endpoint_after_maintenance_is_used_again_on_an_idle_node() {
+fn an_idle_node_uses_an_endpoint_again_after_maintenance() {
     let upstreams: Vec<UpstreamServer> = (0..4).map(|_| UpstreamServer::new(|_, _| ok("slip"))).collect();
     let names = ["a", "b", "c", "d"];
     let list: Vec<Value> = names.iter().zip(&upstreams).map(|(uid, s)| ready_endpoint(uid, s)).collect();
--- a/tests/node/reload.rs
+++ b/tests/node/reload.rs
@@ -6,7 +6,7 @@
 use crate::support::*;
 
 #[test]
-fn sighup_moves_the_watch_and_keeps_requests_and_list() {
+fn sighup_moves_the_watch_and_keeps_requests_and_endpoints() {
     let (one, two) = (UpstreamServer::new(|_, _| Reply::Never), UpstreamServer::new(|_, _| ok("two")));
     let node = Node::start(&[ready_endpoint("a", &one)]);
     let mut watch = Watch::accept(&node.discovery);
@@ -19,9 +19,9 @@
     watch.send_delta(58, &[endpoint_entry("a", one.address, 1, "draining"), ready_endpoint("b", &two)]);
     while node.client().exchange(&view_request()).status() != 200 {}
     // The first request is still active: it has lost neither its endpoint nor its client.
-    let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
-    node.reload_config(&node.config_with_discovery(&elsewhere));
-    let mut moved = Watch::accept(&elsewhere);
+    let new_discovery = TcpListener::bind("127.0.0.1:0").unwrap();
+    node.reload_config(&node.config_with_discovery(&new_discovery));
+    let mut moved = Watch::accept(&new_discovery);
     assert_eq!(moved.request.start_line, "GET /catalog/members?watch=1&from=58 HTTP/1.1");
     assert_eq!(node.client().exchange(&view_request()).body, b"two", "the list stays");
     moved.send_delta(59, &[endpoint_entry("b", two.address, 1, "gone")]);
@@ -34,17 +34,17 @@
 fn a_closed_log_pipe_does_not_stop_the_node() {
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
     let node = Node::with_closed_log(&[ready_endpoint("a", &upstream)]);
-    let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
+    let new_discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     node.reload_config("{\"name\": 3}");
-    node.reload_config(&node.config_with_discovery(&elsewhere));
-    drop(Watch::accept(&elsewhere));
-    Watch::accept(&elsewhere).keep_alive();
+    node.reload_config(&node.config_with_discovery(&new_discovery));
+    drop(Watch::accept(&new_discovery));
+    Watch::accept(&new_discovery).keep_alive();
     assert_eq!(node.client().exchange(&view_request()).body, b"slip");
 }
 
 /// Where lists are polled, the backoff between calls grows; a new address does not wait for it.
 #[test]
-fn polling_follows_a_new_discovery_address_at_once() {
+fn polling_switches_to_a_new_discovery_address_at_once() {
     let upstream = UpstreamServer::new(|_, _| ok("known"));
     let node = Node::with_config(&[ready_endpoint("a", &upstream)], |config| {
         config["settings"]["discovery"] = "subscribe".into();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn sighup_drops_a_partially_read_list() {
+fn sighup_drops_a_partially_read_endpoint_list() {
     let (known, other) = (UpstreamServer::new(|_, _| ok("known")), UpstreamServer::new(|_, _| ok("other")));
     let node = Node::start(&[ready_endpoint("a", &known)]);
     let mut old = Watch::accept(&node.discovery);
--- a/tests/node/shutdown.rs
+++ b/tests/node/shutdown.rs
@@ -9,7 +9,7 @@
 use crate::support::*;
 
 /// A node whose longest deadline is a second; SIGKILL is due 0.7 s later.
-fn with_short_deadlines(endpoints: &[Value], sockets: usize) -> Node {
+fn start_with_short_deadlines(endpoints: &[Value], sockets: usize) -> Node {
     Node::with_config(endpoints, |config| {
         config["limits"]["sockets"] = sockets.into();
         for class in config["settings"]["services"].as_array_mut().unwrap() {
@@ -35,7 +35,7 @@
 fn a_late_request_on_an_open_connection_is_answered_before_sigkill() {
     let upstream = UpstreamServer::new(|_, _| Reply::Never);
     // So few descriptors that partial requests take all connections, and the last clients stay in the backlog.
-    let mut node = with_short_deadlines(&[ready_endpoint("a", &upstream)], 60);
+    let mut node = start_with_short_deadlines(&[ready_endpoint("a", &upstream)], 60);
     let order = order_request();
     let mut partial: Vec<Connection> = (0..30).map(|_| node.client()).collect();
     partial.iter_mut().for_each(|client| client.send(&order[..20]));
@@ -56,7 +56,7 @@
 #[test]
 fn connections_in_the_backlog_at_the_shutdown_deadline_are_answered() {
     let upstream = UpstreamServer::new(|_, _| Reply::Never);
-    let mut node = with_short_deadlines(&[ready_endpoint("a", &upstream)], 36);
+    let mut node = start_with_short_deadlines(&[ready_endpoint("a", &upstream)], 36);
     let order = order_request();
     let mut partial: Vec<Connection> = (0..MAX_CLIENT_CONNECTIONS).map(|_| node.client()).collect();
     partial.iter_mut().for_each(|client| client.send(&order[..20]));
@@ -83,7 +83,7 @@
 #[test]
 fn a_partially_read_request_at_sigterm_is_answered() {
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
-    let mut node = with_short_deadlines(&[ready_endpoint("a", &upstream)], 1024);
+    let mut node = start_with_short_deadlines(&[ready_endpoint("a", &upstream)], 1024);
     let (submit, view) = (submit_request(), view_request());
     let (mut head, mut body) = (node.client(), node.client());
     head.send(&view[..25]);
@@ -147,14 +147,14 @@
 fn sigterm_with_exhausted_descriptors_answers_every_request() {
     let upstream = UpstreamServer::new(|_, _| Reply::Never);
     let mut node = Node::with_descriptor_limit(&[ready_endpoint("a", &upstream)], 48);
-    let mut crowd: Vec<Connection> = (0..60).map(|_| node.client()).collect();
-    crowd.iter_mut().for_each(|client| client.send(&order_request()));
+    let mut clients: Vec<Connection> = (0..60).map(|_| node.client()).collect();
+    clients.iter_mut().for_each(|client| client.send(&order_request()));
     let started = Instant::now();
     while node.open_descriptors() < 47 {
         assert!(started.elapsed() < EVENT_TIMEOUT, "descriptors are free");
     }
     node.terminate();
-    for client in &mut crowd {
+    for client in &mut clients {
         let response = client.receive();
         assert!([502, 503, 504].contains(&response.status()), "{response:?}");
     }
--- a/tests/node/startup.rs
+++ b/tests/node/startup.rs
@@ -7,7 +7,7 @@
 use crate::support::*;
 
 #[test]
-fn a_failed_start_names_the_field_and_its_value() {
+fn a_failed_start_reports_the_field_and_its_value() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap().to_string();
     let config = |field: &str, value: Value| {
--- a/tests/node/version_upgrade.rs
+++ b/tests/node/version_upgrade.rs
@@ -16,23 +16,23 @@
 const SOCKETS: usize = 160;
 
 /// How many connections send requests while one process takes over from the other.
-const LOAD: usize = 4;
+const LOAD_CONNECTIONS: usize = 4;
 
 /// A state file as the program wrote it at dd85554, under its name there.
-const PREVIOUS_NAME: &str = "dunelink-n0.json";
-const PREVIOUS_STATE: &str = r#"{"version":1,"orders":{"starts":3,"standby":true,"maintenance":["a","b"],"returned":{"c":1764680000000000}}}"#;
+const STATE_FILE_NAME: &str = "dunelink-n0.json";
+const PREVIOUS_STATE_FILE: &str = r#"{"version":1,"orders":{"starts":3,"standby":true,"maintenance":["a","b"],"returned":{"c":1764680000000000}}}"#;
 
 #[test]
-fn a_state_file_of_the_version_before_holds_and_keeps_its_form() {
+fn reads_and_keeps_the_state_file_format_of_the_previous_version() {
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
     let targets = ["a", "b", "c"].map(|uid| ready_endpoint(uid, &upstream));
     let state_dir = state_dir();
-    let path = state_dir.join(PREVIOUS_NAME);
-    fs::write(&path, PREVIOUS_STATE).unwrap();
+    let path = state_dir.join(STATE_FILE_NAME);
+    fs::write(&path, PREVIOUS_STATE_FILE).unwrap();
     let node = Node::with_admin(&targets, 1024, &state_dir);
     assert_eq!(node.admin_status(), json!({"phase": "standby", "able": true, "maintenance": ["a", "b"]}));
     assert_eq!(node.health(), 503);
-    let started = PREVIOUS_STATE.replace("\"starts\":3", "\"starts\":4");
+    let started = PREVIOUS_STATE_FILE.replace("\"starts\":3", "\"starts\":4");
     wait_until("it has counted itself", || fs::read_to_string(&path).unwrap() == started);
     assert_eq!(node.admin_request("POST", "/active", "").status(), 200);
     assert_eq!(fs::read_to_string(&path).unwrap(), started.replace("\"standby\":true", "\"standby\":false"));
@@ -44,7 +44,7 @@
     let files = fs::read_dir(&state_dir).unwrap().map(|entry| entry.unwrap().file_name());
     let mut files: Vec<String> = files.map(|name| name.into_string().unwrap()).collect();
     files.sort();
-    assert_eq!(files, [PREVIOUS_NAME, "dunelink-n0.lock"]);
+    assert_eq!(files, [STATE_FILE_NAME, "dunelink-n0.lock"]);
 }
 
 /// What clients have seen.
@@ -93,7 +93,7 @@
     }
 
     /// Waits until this many more requests are answered.
-    fn goes_on(&self, requests: usize) {
+    fn wait_for_more_answers(&self, requests: usize) {
         let before = self.answered();
         wait_until("clients are served", || self.answered() >= before + requests);
     }
@@ -109,12 +109,12 @@
 }
 
 /// The program of the version before.
-fn previous() -> PathBuf {
+fn previous_program() -> PathBuf {
     let named = std::env::var_os("MOTHSPOOL_PREVIOUS");
     named.expect("MOTHSPOOL_PREVIOUS names a program of the version before").into()
 }
 
-fn current() -> PathBuf {
+fn current_program() -> PathBuf {
     env!("CARGO_BIN_EXE_mothspool").into()
 }
 
@@ -147,19 +147,19 @@
     }
 }
 
-fn serves(node: &Node) -> bool {
+fn is_ready(node: &Node) -> bool {
     node.admin_request("GET", "/status", "").status() == 200
 }
 
 /// The state file after this many starts.
-fn state(starts: u32, standby: bool) -> String {
+fn state_file(starts: u32, standby: bool) -> String {
     format!(
         r#"{{"version":1,"orders":{{"starts":{starts},"standby":{standby},"maintenance":["b","c"],"returned":{{}}}}}}"#
     )
 }
 
 /// What was ordered of the older process holds for the newer one, and what either is told holds for both.
-fn orders_hold_for_both(older: &Node, newer: &Node) {
+fn assert_admin_state_is_shared(older: &Node, newer: &Node) {
     let standby = json!({"phase": "standby", "able": true, "maintenance": ["b", "c"]});
     assert_eq!(newer.admin_status(), standby);
     assert_eq!(newer.admin_request("POST", "/active", "").status(), 200);
@@ -171,30 +171,30 @@
 }
 
 /// Runs a node with one program, has the other take over under load, and ends the first.
-fn take_over(from: &Path, to: &Path) {
+fn check_takeover(from: &Path, to: &Path) {
     let (endpoints, state_dir) = (Endpoints::new(), state_dir());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let start = |program| Node::with_program(program, &endpoints.list(), &listener, &state_dir, SOCKETS);
     let read = |file: &str| fs::read_to_string(state_dir.join(file)).unwrap();
     let mut older = start(from);
-    wait_until("the older one serves", || serves(&older));
+    wait_until("the older one serves", || is_ready(&older));
     assert_eq!((older.set_maintenance("enter", "b"), older.set_maintenance("enter", "c")), (200, 200));
     assert_eq!(older.admin_request("POST", "/standby", "").status(), 200);
-    assert_eq!(read(PREVIOUS_NAME), state(1, true));
+    assert_eq!(read(STATE_FILE_NAME), state_file(1, true));
     let (load, address) = (Load::default(), older.address);
     thread::scope(|scope| {
         let stop = StopOnDrop(&load);
-        let clients: Vec<_> = (0..LOAD).map(|_| scope.spawn(|| load.run(address))).collect();
-        load.goes_on(100);
+        let clients: Vec<_> = (0..LOAD_CONNECTIONS).map(|_| scope.spawn(|| load.run(address))).collect();
+        load.wait_for_more_answers(100);
         let mut slow = endpoints.send_slow_request(&older);
         let before = load.answered();
 
         let newer = start(to);
-        wait_until("the newer one serves", || serves(&newer));
+        wait_until("the newer one serves", || is_ready(&newer));
         assert_eq!(read("dunelink-n0.given-way"), "2");
         assert!(older.open_descriptors() + newer.open_descriptors() <= SOCKETS);
-        orders_hold_for_both(&older, &newer);
-        load.goes_on(100);
+        assert_admin_state_is_shared(&older, &newer);
+        load.wait_for_more_answers(100);
         older.terminate();
         wait_until("the older one shuts down", || older.admin_status()["phase"] == "leaving");
         assert_eq!(older.health(), 200, "the node serves");
@@ -202,7 +202,7 @@
         assert!(older.wait_for_exit().success());
         let during = load.answered() - before;
 
-        load.goes_on(100);
+        load.wait_for_more_answers(100);
         let serving = json!({"phase": "serving", "able": true, "maintenance": ["b", "c"]});
         assert_eq!((newer.health(), newer.admin_status()), (200, serving));
         drop(stop);
@@ -215,22 +215,22 @@
         );
     });
     assert_eq!(endpoints.in_maintenance.request_count(), 0, "nothing goes to an endpoint in maintenance");
-    assert_eq!(read(PREVIOUS_NAME), state(2, false));
+    assert_eq!(read(STATE_FILE_NAME), state_file(2, false));
 }
 
 #[test]
-fn this_version_takes_over_from_itself() {
-    take_over(&current(), &current());
+fn the_current_version_takes_over_from_itself() {
+    check_takeover(&current_program(), &current_program());
 }
 
 #[test]
 #[ignore = "needs MOTHSPOOL_PREVIOUS, a program of the version before"]
-fn this_version_takes_over_from_the_one_before() {
-    take_over(&previous(), &current());
+fn the_current_version_takes_over_from_the_previous_version() {
+    check_takeover(&previous_program(), &current_program());
 }
 
 #[test]
 #[ignore = "needs MOTHSPOOL_PREVIOUS, a program of the version before"]
-fn the_version_before_takes_over_from_this_one() {
-    take_over(&current(), &previous());
+fn the_previous_version_takes_over_from_the_current_version() {
+    check_takeover(&current_program(), &previous_program());
 }
--- a/tests/unit/admin_commands.rs
+++ b/tests/unit/admin_commands.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn each_path_has_its_method_and_command() {
+fn maps_each_path_to_its_method_and_command() {
     let uid = || "s-0a1aeea2".to_string();
     let body = br#"{"host":"s-0a1aeea2"}"#;
     let commands = [
--- a/tests/unit/hot_restart.rs
+++ b/tests/unit/hot_restart.rs
@@ -3,27 +3,27 @@
 use super::*;
 use crate::unit_support::{TempFolder, upstream};
 
-/// Connections that the test sets a number for.
+/// Connections whose number is set by the test.
 #[derive(Default)]
-struct Connections {
+struct FakeConnections {
     shared: Cell<bool>,
-    exceed_limit: Cell<bool>,
+    exceeds_limit: Cell<bool>,
 }
 
-impl ClientConnections for Connections {
+impl ClientConnections for FakeConnections {
     fn share_descriptors(&self, shared: bool) {
         self.shared.set(shared);
     }
 
     fn exceeds_limit(&self) -> bool {
-        self.exceed_limit.get()
+        self.exceeds_limit.get()
     }
 
     async fn drain(&self) {}
 }
 
-/// The processes of a node with its state in `folder`, each registered after the one before.
-fn processes<const N: usize>(folder: &TempFolder) -> [HotRestart<Connections>; N] {
+/// Registers processes of one node with its state file in `folder`, one after the other.
+fn register_processes<const N: usize>(folder: &TempFolder) -> [HotRestart<FakeConnections>; N] {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let register = |()| {
         let lifecycle = Rc::new(Lifecycle::new(upstream()));
@@ -34,32 +34,32 @@
 }
 
 /// What a poll of the state file does at this time.
-fn poll(process: &mut HotRestart<Connections>, now: Instant) {
+fn poll(process: &mut HotRestart<FakeConnections>, now: Instant) {
     process.store.refresh();
     process.step(now);
 }
 
 #[test]
-fn a_process_alone_has_all_descriptors_at_once() {
+fn a_single_process_uses_all_descriptors_at_once() {
     let folder = TempFolder::new();
-    let [mut alone] = processes(&folder);
+    let [mut process] = register_processes(&folder);
     let now = Instant::now();
-    poll(&mut alone, now);
-    assert!(!alone.connections.shared.get() && alone.has_own_descriptors(now));
+    poll(&mut process, now);
+    assert!(!process.connections.shared.get() && process.are_descriptors_available(now));
 }
 
 #[test]
-fn two_processes_share_descriptors_for_a_while() {
+fn two_processes_share_descriptors_for_the_sharing_period() {
     let folder = TempFolder::new();
-    let mut both = processes::<2>(&folder);
-    assert!(both.iter().map(|process| process.own_start).eq([1, 2]));
+    let mut both = register_processes::<2>(&folder);
+    assert!(both.iter().map(|process| process.start_number).eq([1, 2]));
     let now = Instant::now();
     for process in &mut both {
         poll(process, now);
         assert!(process.connections.shared.get());
-        poll(process, now + SHARING_TIME - Duration::from_millis(100));
+        poll(process, now + DESCRIPTOR_SHARING_PERIOD - Duration::from_millis(100));
         assert!(process.connections.shared.get());
-        poll(process, now + SHARING_TIME);
+        poll(process, now + DESCRIPTOR_SHARING_PERIOD);
         assert!(!process.connections.shared.get());
     }
 }
@@ -67,28 +67,28 @@
 #[test]
 fn descriptors_are_released_once_connections_are_within_the_limit() {
     let folder = TempFolder::new();
-    let [mut older, mut younger] = processes(&folder);
+    let [mut older, mut newer] = register_processes(&folder);
     let now = Instant::now();
-    older.connections.exceed_limit.set(true);
+    older.connections.exceeds_limit.set(true);
     poll(&mut older, now);
-    assert!(!younger.has_own_descriptors(now));
-    older.connections.exceed_limit.set(false);
+    assert!(!newer.are_descriptors_available(now));
+    older.connections.exceeds_limit.set(false);
     poll(&mut older, now + Duration::from_millis(50));
-    assert!(younger.has_own_descriptors(now));
-    poll(&mut younger, now);
-    assert_eq!((older.released_to, younger.released_to), (2, 2), "the younger one has no successor");
+    assert!(newer.are_descriptors_available(now));
+    poll(&mut newer, now);
+    assert_eq!((older.released_to, newer.released_to), (2, 2), "the newer one has no successor");
 }
 
 #[test]
-fn neither_process_waits_for_the_other_for_long() {
+fn waits_for_the_other_process_time_out() {
     let folder = TempFolder::new();
-    let [mut older, younger] = processes(&folder);
+    let [mut older, newer] = register_processes(&folder);
     let now = Instant::now();
-    older.connections.exceed_limit.set(true);
+    older.connections.exceeds_limit.set(true);
     poll(&mut older, now);
-    let late = younger.started_at + AWAIT_RELEASE_TIMEOUT;
-    assert!(!younger.has_own_descriptors(late - Duration::from_millis(1)));
-    assert!(younger.has_own_descriptors(late));
+    let timed_out_at = newer.started_at + AWAIT_RELEASE_TIMEOUT;
+    assert!(!newer.are_descriptors_available(timed_out_at - Duration::from_millis(1)));
+    assert!(newer.are_descriptors_available(timed_out_at));
     poll(&mut older, now + RELEASE_TIMEOUT);
-    assert!(younger.has_own_descriptors(now));
+    assert!(newer.are_descriptors_available(now));
 }
--- a/tests/unit/lifecycle.rs
+++ b/tests/unit/lifecycle.rs
@@ -1,55 +1,55 @@
 use super::*;
 use crate::unit_support::upstream;
 
-/// A process that has become ready.
-fn ready() -> Lifecycle {
+/// Returns the life cycle of a process that is ready.
+fn ready_lifecycle() -> Lifecycle {
     let lifecycle = Lifecycle::new(upstream());
     lifecycle.readiness.set(Readiness::Ready);
     lifecycle
 }
 
 /// The phase's name, and whether clients are welcome and keep their connections.
-fn seen(lifecycle: &Lifecycle) -> (&'static str, bool, bool) {
-    (lifecycle.phase_name(), lifecycle.welcomes_clients(), lifecycle.keeps_connections())
+fn observed_state(lifecycle: &Lifecycle) -> (&'static str, bool, bool) {
+    (lifecycle.phase_name(), lifecycle.passes_health_check(), lifecycle.allows_keep_alive())
 }
 
 #[test]
-fn standby_goes_on_and_off() {
-    let lifecycle = ready();
-    assert_eq!(seen(&lifecycle), ("serving", true, true));
+fn standby_can_be_switched_on_and_off() {
+    let lifecycle = ready_lifecycle();
+    assert_eq!(observed_state(&lifecycle), ("serving", true, true));
     lifecycle.set_standby(true);
-    assert_eq!(seen(&lifecycle), ("standby", false, false));
+    assert_eq!(observed_state(&lifecycle), ("standby", false, false));
     assert!(lifecycle.is_standby());
     lifecycle.set_standby(false);
-    assert_eq!(seen(&lifecycle), ("serving", true, true));
+    assert_eq!(observed_state(&lifecycle), ("serving", true, true));
 }
 
 #[test]
-fn a_process_that_shuts_down_welcomes_clients_for_its_successor() {
-    let lifecycle = ready();
+fn passes_health_checks_during_shutdown_while_its_successor_serves() {
+    let lifecycle = ready_lifecycle();
     lifecycle.begin_shutdown(true);
-    assert_eq!(seen(&lifecycle), ("leaving", true, false));
+    assert_eq!(observed_state(&lifecycle), ("leaving", true, false));
     lifecycle.set_standby(true);
-    assert_eq!(seen(&lifecycle), ("leaving", false, false));
+    assert_eq!(observed_state(&lifecycle), ("leaving", false, false));
     assert!(!lifecycle.is_standby(), "its connections are closed by the shutdown");
     lifecycle.set_standby(false);
-    assert_eq!(seen(&lifecycle), ("leaving", true, false));
+    assert_eq!(observed_state(&lifecycle), ("leaving", true, false));
 }
 
 #[test]
-fn standby_goes_over_to_the_successor() {
-    let lifecycle = ready();
+fn standby_carries_over_to_the_successor() {
+    let lifecycle = ready_lifecycle();
     lifecycle.set_standby(true);
     lifecycle.begin_shutdown(true);
-    assert_eq!(seen(&lifecycle), ("leaving", false, false));
+    assert_eq!(observed_state(&lifecycle), ("leaving", false, false));
 }
 
 #[test]
-fn without_a_successor_no_order_brings_clients_back() {
-    let lifecycle = ready();
+fn fails_health_checks_during_shutdown_without_a_successor() {
+    let lifecycle = ready_lifecycle();
     lifecycle.begin_shutdown(false);
     for standby in [true, false] {
-        assert_eq!(seen(&lifecycle), ("leaving", false, false));
+        assert_eq!(observed_state(&lifecycle), ("leaving", false, false));
         lifecycle.set_standby(standby);
     }
     assert!(!lifecycle.is_past_shutdown_deadline());
@@ -60,13 +60,13 @@
 #[test]
 fn readiness_waits_for_descriptors_and_then_for_an_endpoint() {
     let lifecycle = Lifecycle::new(upstream());
-    assert!(!lifecycle.is_ready() && !lifecycle.welcomes_clients());
-    lifecycle.await_descriptors();
+    assert!(!lifecycle.is_ready() && !lifecycle.passes_health_check());
+    lifecycle.require_descriptors();
     assert!(lifecycle.readiness.get() == Readiness::AwaitingDescriptors && !lifecycle.is_ready());
-    lifecycle.descriptors_available();
+    lifecycle.mark_descriptors_available();
     assert!(lifecycle.readiness.get() == Readiness::AwaitingEndpoint && !lifecycle.is_ready());
     lifecycle.readiness.set(Readiness::Ready);
-    lifecycle.await_descriptors();
-    lifecycle.descriptors_available();
-    assert!(lifecycle.is_ready(), "it stays ready");
+    lifecycle.require_descriptors();
+    lifecycle.mark_descriptors_available();
+    assert!(lifecycle.is_ready(), "a ready process stays ready");
 }
--- a/tests/unit/state_store.rs
+++ b/tests/unit/state_store.rs
@@ -4,7 +4,7 @@
 use crate::unit_support::TempFolder;
 
 /// A state file as the program's versions up to dd85554 wrote it.
-const FILE: &str = r#"{"version":1,"orders":{"starts":3,"standby":true,"maintenance":["s-0a1aeea2","s-5be2a07c"],"returned":{"s-77":1764680000000000}}}"#;
+const STATE_FILE: &str = r#"{"version":1,"orders":{"starts":3,"standby":true,"maintenance":["s-0a1aeea2","s-5be2a07c"],"returned":{"s-77":1764680000000000}}}"#;
 
 fn update(store: &StateStore, change: impl FnOnce(&mut AdminState)) -> Result<(), StateError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -12,25 +12,25 @@
 }
 
 #[test]
-fn the_file_keeps_its_form() {
+fn keeps_the_stored_format() {
     let folder = TempFolder::new();
-    fs::write(folder.0.join("dunelink-n0.json"), FILE).unwrap();
+    fs::write(folder.0.join("dunelink-n0.json"), STATE_FILE).unwrap();
     let store = StateStore::open(&folder.0, "n0");
     let state = store.state();
     assert_eq!((state.process_starts, state.standby), (3, true));
     assert!(state.maintenance.iter().eq(["s-0a1aeea2", "s-5be2a07c"]));
     assert!(state.returned_at.iter().eq([(&"s-77".to_string(), &1_764_680_000_000_000)]));
     update(&store, |_| {}).unwrap();
-    assert_eq!(folder.read("dunelink-n0.json"), FILE);
+    assert_eq!(folder.read("dunelink-n0.json"), STATE_FILE);
     update(&store, |state| assert_eq!(state.register_process(), 4)).unwrap();
-    assert_eq!(folder.read("dunelink-n0.json"), FILE.replace("\"starts\":3", "\"starts\":4"));
+    assert_eq!(folder.read("dunelink-n0.json"), STATE_FILE.replace("\"starts\":3", "\"starts\":4"));
     store.release_descriptors(5);
     assert_eq!(folder.read("dunelink-n0.given-way"), "5");
     assert_eq!(folder.names(), ["dunelink-n0.given-way", "dunelink-n0.json", "dunelink-n0.lock"]);
 }
 
 #[test]
-fn the_file_is_named_after_the_node() {
+fn derives_the_file_name_from_the_node_name() {
     let folder = TempFolder::new();
     update(&StateStore::open(&folder.0, "n-0/../x y"), |_| {}).unwrap();
     assert_eq!(folder.names(), ["dunelink-n-0____x_y.json", "dunelink-n-0____x_y.lock"]);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_another_process_writes_is_seen_once() {
+fn refresh_reports_a_change_by_another_process_once() {
     let folder = TempFolder::new();
     let stores = [0, 1].map(|_| StateStore::open(&folder.0, "n0"));
     update(&stores[0], |state| state.enter_maintenance("a".into())).unwrap();
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_error_names_its_cause_and_changes_nothing() {
+fn a_failed_update_reports_its_cause_and_changes_nothing() {
     let folder = TempFolder::new();
     let store = StateStore::open(&folder.0, "n0");
     let lock = File::create(folder.0.join("dunelink-n0.lock")).unwrap();
@@ -72,22 +72,22 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_decoded_says_why() {
-    let fails = |text: &str| admin_state::decode(text.as_bytes()).unwrap_err();
+fn reports_why_a_file_cannot_be_decoded() {
+    let decode_error = |text: &str| admin_state::decode(text.as_bytes()).unwrap_err();
     for text in
         ["", "[]", "{\"version\":1,", "{\"version\":1}", "{\"orders\":{}}", "{\"version\":1,\"orders\":{}}"]
     {
-        assert!(matches!(fails(text), StateError::Malformed(_)), "{text}");
+        assert!(matches!(decode_error(text), StateError::Malformed(_)), "{text}");
     }
-    let further = FILE.replace("\"standby\"", "\"more\":1,\"standby\"");
-    assert!(matches!(fails(&further), StateError::Malformed(_)));
+    let unknown_field = STATE_FILE.replace("\"standby\"", "\"more\":1,\"standby\"");
+    assert!(matches!(decode_error(&unknown_field), StateError::Malformed(_)));
     // Of another version nothing is known, nor need it be.
-    let other = fails(r#"{"version":2,"orders":[]}"#);
-    assert_eq!(other.to_string(), "the state file has version 2, supported is 1");
+    let other_version = decode_error(r#"{"version":2,"orders":[]}"#);
+    assert_eq!(other_version.to_string(), "the state file has version 2, supported is 1");
 }
 
 #[test]
-fn a_return_is_kept_while_the_endpoint_may_warm_up() {
+fn keeps_return_times_for_the_retention_period() {
     let mut state = AdminState::default();
     let seconds = |seconds: u64| Timestamp::from_micros(seconds * 1_000_000);
     for uid in ["a", "b"] {
