--- a/src/node/admin/commands.rs
+++ b/src/node/admin/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of the admin API, and how they are read from requests.
+//! The commands of the admin API, and their decoding from requests.
 
 use std::time::Duration;
 
@@ -12,34 +12,34 @@
 
 use crate::state_store::StateError;
 
-/// How long a caller may take for the head of a request, and again for its body.
+/// How long a caller may take to send the head of a request, and how long to send its body.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The largest body of a request, in bytes.
+/// Maximum length of a request body.
 const MAX_BODY_BYTES: usize = 4096;
 
 /// A command of an operator.
 #[derive(Debug, PartialEq)]
 pub enum Command {
-    /// Show how the node is.
+    /// Show the status of the node.
     Status,
-    /// Send this endpoint nothing new, whatever discovery says.
+    /// Send no new requests to this endpoint, whatever its state in discovery.
     EnterMaintenance {
-        /// The endpoint's uid, as discovery writes it.
+        /// The endpoint's uid in discovery.
         uid: String,
     },
-    /// Send this endpoint requests again.
+    /// Send requests to this endpoint again.
     ExitMaintenance {
-        /// The endpoint's uid.
+        /// The endpoint's uid in discovery.
         uid: String,
     },
-    /// Empty the node of clients.
+    /// Drain the node of clients.
     EnterStandby,
-    /// Take clients again.
+    /// Accept new clients again.
     ExitStandby,
 }
 
-/// What a path of the admin API stands for.
+/// A path of the admin API.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Route {
     Status,
@@ -49,31 +49,32 @@
     ExitStandby,
 }
 
-/// Why a request is no command, or a command was not carried out. Nothing is changed then.
+/// The reason why a request is not a valid command, or a command was not executed. The state is then
+/// unchanged.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The path is none of the admin API's.
+    /// The path is not part of the admin API.
     #[error("no such call")]
     UnknownPath,
-    /// The path is called with another method.
+    /// The path requires another method.
     #[error("not the method of this call")]
     WrongMethod {
-        /// The method that is right.
+        /// The method that the path requires.
         allowed: Method,
     },
-    /// The body is longer than 4,096 bytes.
+    /// The body is longer than 4096 bytes.
     #[error("the body is too large")]
     BodyTooLarge,
-    /// The connection ended within the body, or the body's framing is invalid.
+    /// The connection closed before the end of the body, or the framing of the body is invalid.
     #[error("the body is broken")]
     BodyBroken,
-    /// The body was not complete after 1 s.
+    /// The body was not complete within 1 s.
     #[error("the body did not come in time")]
     BodyTimedOut,
-    /// The body of a command about an endpoint does not name one.
+    /// The body of a command for an endpoint does not name an endpoint.
     #[error("not {{\"host\":\"ID\"}}")]
     MalformedBody,
-    /// No endpoint list has named the endpoint.
+    /// No endpoint list has contained the endpoint.
     #[error("no such host")]
     UnknownEndpoint,
     /// The new state could not be written.
@@ -81,14 +82,14 @@
     StateNotWritten(#[source] StateError),
 }
 
-/// The body of a command about an endpoint.
+/// The body of a command for an endpoint.
 #[derive(Deserialize)]
 struct EndpointBody {
     host: String,
 }
 
 impl Route {
-    /// The route that a request is for.
+    /// Returns the route of a request.
     pub fn of<B>(request: &Request<B>) -> Result<Route, CommandError> {
         let route = match request.uri().path() {
             "/status" => Route::Status,
@@ -114,8 +115,8 @@
         }
     }
 
-    /// The command of a request for this route with this body. Only commands about an endpoint look at the
-    /// body.
+    /// Returns the command of a request with this route and body. The body is ignored except by commands for
+    /// an endpoint.
     pub fn command(self, body: &[u8]) -> Result<Command, CommandError> {
         Ok(match self {
             Route::Status => Command::Status,
--- a/src/node/admin/listener.rs
+++ b/src/node/admin/listener.rs
@@ -21,21 +21,22 @@
 use crate::config::MAX_ADMIN_CALLS;
 use crate::net::DownstreamSocket;
 
-/// Longest duration of a connection, until the caller has read the response.
+/// Maximum duration of a connection, including the time that the caller takes to read the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long accepting pauses when it fails, for want of descriptors as a rule.
+/// Pause after a failed accept, which usually fails because no descriptor is free.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
 /// An open connection to the admin API.
 struct AdminConnection {
     /// Whether its request has been read.
     request_read: Rc<Cell<bool>>,
-    /// Serves the connection; dropped, it ends it.
+    /// The task that serves the connection. Dropping it closes the connection.
     task: AbortOnDropHandle<()>,
 }
 
-/// The open connections, oldest first, no more than there are descriptors set aside for.
+/// The open connections, oldest first. There are at most [`MAX_ADMIN_CALLS`], for which descriptors are
+/// reserved.
 #[derive(Default)]
 struct AdminConnections(VecDeque<AdminConnection>);
 
@@ -51,11 +52,11 @@
         self.0.push_back(AdminConnection { request_read, task: AbortOnDropHandle::new(task) });
     }
 
-    /// Closes the oldest connection whose request has not been read yet. If all requests have been read, closes
-    /// the oldest connection although its response is pending.
+    /// Closes the oldest connection whose request has not been read yet. If all requests have been read,
+    /// closes the oldest connection, although its response is pending.
     fn evict_one(&mut self) {
-        let longest_silent = self.0.iter().position(|connection| !connection.request_read.get());
-        self.0.remove(longest_silent.unwrap_or(0));
+        let oldest_unread = self.0.iter().position(|connection| !connection.request_read.get());
+        self.0.remove(oldest_unread.unwrap_or(0));
     }
 }
 
@@ -70,7 +71,7 @@
     }
 }
 
-/// Serves one request. `request_read` is set once it has been read.
+/// Serves one request, and sets `request_read` once the request has been read.
 async fn serve_connection(stream: TcpStream, service: Rc<AdminService>, request_read: Rc<Cell<bool>>) {
     let (socket, observer) = DownstreamSocket::new(stream);
     let respond = service_fn(|request: Request<Incoming>| {
@@ -87,7 +88,7 @@
     });
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new()).header_read_timeout(REQUEST_TIMEOUT).keep_alive(false);
-    // An error means that the caller has disconnected: there is nobody left to respond to.
+    // A caller that disconnects gets no response. Errors need no handling.
     let _ = timeout(CONNECTION_TIMEOUT, builder.serve_connection(TokioIo::new(socket), respond)).await;
 }
 
--- a/src/node/admin/mod.rs
+++ b/src/node/admin/mod.rs
@@ -1,7 +1,7 @@
-//! The admin API: operators' commands over HTTP on the node's second address, one a connection, answered
-//! whatever the load of clients is.
+//! The admin API: commands of operators over HTTP on a separate address, one request per connection. It
+//! responds however high the load from clients is.
 //!
-//! The listener accepts callers, reads a command from each, has the service carry it out and writes the
+//! The listener accepts connections, reads a command from each, has the service execute it, and writes the
 //! response.
 
 mod commands;
--- a/src/node/admin/responses.rs
+++ b/src/node/admin/responses.rs
@@ -13,17 +13,17 @@
 /// A complete response.
 pub type AdminResponse = Response<Full<Bytes>>;
 
-/// How the node is.
+/// The status of the node.
 pub struct NodeStatus {
-    /// The phase's name.
+    /// Name of the phase.
     pub phase: &'static str,
-    /// Whether the node can serve requests, now or once before.
+    /// Whether the node can serve requests, or could at an earlier time.
     pub ready: bool,
     /// The uids of the endpoints in maintenance.
     pub maintenance: BTreeSet<String>,
 }
 
-/// A response that shows how the node is.
+/// Builds a response with the status of the node.
 pub fn status_response(status: StatusCode, node: &NodeStatus) -> AdminResponse {
     let body = json!({"phase": node.phase, "able": node.ready, "maintenance": node.maintenance});
     let mut response = build_response(status, format!("{body}\n"));
@@ -31,7 +31,7 @@
     response
 }
 
-/// The response to a command that was not carried out.
+/// Builds the response to a request that was not executed.
 pub fn error_response(error: &CommandError) -> AdminResponse {
     let mut response = build_response(status_code(error), format!("{error}\n"));
     if let CommandError::WrongMethod { allowed } = error
--- a/src/node/admin/service.rs
+++ b/src/node/admin/service.rs
@@ -1,4 +1,4 @@
-//! Carries out operators' commands, of this process or of another one of the node.
+//! Executes commands of operators, and applies those that another process of the node has received.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,28 +16,28 @@
 use crate::protocol::endpoint_list::endpoint_id;
 use crate::state_store::{AdminState, StateStore};
 
-/// How long a response waits for the node's other process to have read the new state: two poll intervals of
-/// [`crate::state_store::POLL_INTERVAL`], and a little for its work.
+/// How long a response is delayed so that the other process of the node has applied the new state: two times
+/// [`crate::state_store::POLL_INTERVAL`], and 20 ms for processing.
 const PROPAGATION_DELAY: Duration = Duration::from_millis(120);
 
-/// Changes the state of the node as operators command, and brings this process in line with it.
+/// Changes the state of the node as operators command, and applies the state to this process.
 pub struct AdminService {
     store: Rc<StateStore>,
-    /// The state that the life cycle and the engine go by.
+    /// The state that was last applied to the life cycle and the engine.
     applied: RefCell<AdminState>,
     lifecycle: Rc<Lifecycle>,
     engine: EngineHandle,
 }
 
 impl AdminService {
-    /// A service over the state in `store`, which is applied at once.
+    /// Creates a service for the state in `store`, and applies this state.
     pub fn new(store: Rc<StateStore>, lifecycle: Rc<Lifecycle>, engine: EngineHandle) -> AdminService {
         let service = AdminService { store, applied: RefCell::default(), lifecycle, engine };
         service.reconcile();
         service
     }
 
-    /// Brings the life cycle and the engine in line with the state as last read or written.
+    /// Applies the state that was last read or written to the life cycle and the engine.
     pub fn reconcile(&self) {
         let state = self.store.state();
         let applied = self.applied.replace(state.clone());
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Carries out a command. The response is successful once all processes of the node go by it.
+    /// Executes a command. A response that reports success is returned once all processes have applied it.
     pub async fn execute(&self, command: Command) -> Result<AdminResponse, CommandError> {
         match command {
             Command::Status => return Ok(self.report_status()),
@@ -70,10 +70,10 @@
         Ok(status_response(StatusCode::OK, &self.node_status()))
     }
 
-    /// Changes the state, and returns once all processes go by it.
+    /// Changes the state, and returns once all processes have applied it.
     async fn update(&self, change: impl FnOnce(&mut AdminState)) -> Result<(), CommandError> {
         if let Err(error) = self.store.update(change).await {
-            log!("a command was not carried out: {}", ErrorChain(&error));
+            log!("cannot execute an admin command: {}", ErrorChain(&error));
             return Err(CommandError::StateNotWritten(error));
         }
         self.reconcile();
@@ -81,7 +81,8 @@
         Ok(())
     }
 
-    /// An endpoint that is in maintenance may have been named to an earlier process only.
+    /// Checks that the endpoint is known. An endpoint in maintenance is accepted even if discovery has named it
+    /// only to an earlier process.
     fn check_known(&self, uid: &str) -> Result<(), CommandError> {
         if self.store.state().maintenance.contains(uid) || self.engine.is_known(endpoint_id(uid)) {
             Ok(())
@@ -104,7 +105,7 @@
     }
 }
 
-/// The time now, in Unix time.
+/// Returns the current Unix time.
 fn unix_time() -> Timestamp {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Timestamp::from_micros(now.as_micros() as u64)
--- a/src/node/lifecycle/hot_restart.rs
+++ b/src/node/lifecycle/hot_restart.rs
@@ -1,11 +1,11 @@
-//! Hot restart: two processes of a node run side by side, one takes over from the other, and both together
-//! keep to the node's descriptors.
+//! Hot restart: a new process of a node takes over from the old one. While both run, they stay within the
+//! descriptor limit of the node together.
 //!
-//! Each process counts itself in the state file as it starts. Whoever sees that count rise has a successor
-//! (or has one process beside it) and keeps to half of the descriptors. The predecessor then releases the
-//! other half: it closes idle connections until it is within its limit and says so in a file. The successor
-//! becomes ready to serve after that, or after a while without it: the predecessor may have crashed, or be of
-//! a version that knows no release.
+//! Each process increments the start count in the state file when it starts. After a start, the new process
+//! and its predecessor each use at most half of the descriptors. The predecessor closes idle connections
+//! until it is within this limit, and then records in a file that it has released the other half. The
+//! successor becomes ready to serve after the release, or after a timeout: the predecessor may have crashed,
+//! or its version may not support the release.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,36 +16,37 @@
 use crate::log::ErrorChain;
 use crate::state_store::{POLL_INTERVAL, StateStore};
 
-/// How long a process waits for its connections to come within the limit before it releases descriptors all
-/// the same. New connections without a request are left alone at first, but not for so long.
+/// How long a process waits until its connections are within the limit before it releases descriptors anyway.
+/// New connections without a request are not closed at once, but within a shorter time than this.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a process waits for its predecessor to release descriptors: longer than that one takes. There may
-/// be no predecessor any more.
+/// How long a process waits for its predecessor to release descriptors. The predecessor takes less time than
+/// this, but may no longer be running.
 const AWAIT_RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long after the last start of a process the descriptors are shared. By then one of the two has ended:
-/// the platform has replaced the older one, or the younger one has failed.
+/// How long the descriptors are shared after the start of a process. One of the two processes has ended by
+/// then: the platform has replaced the older one, or the newer one has failed.
 const DESCRIPTOR_SHARING_PERIOD: Duration = Duration::from_secs(11);
 
-/// This process's part in hot restarts, as predecessor and as successor.
+/// The role of this process in hot restarts, as predecessor and as successor.
 pub struct HotRestart<C> {
     store: Rc<StateStore>,
     lifecycle: Rc<Lifecycle>,
     connections: Rc<C>,
-    /// The start number of this process, from 1.
+    /// Start number of this process; the first process of a node has 1.
     start_number: u64,
     started_at: Instant,
-    /// The start number of the node's youngest process, and since when it has been the youngest one.
+    /// Start number of the most recently started process of the node.
     latest_start_number: u64,
+    /// When this process first saw that start number.
     latest_start_observed_at: Instant,
-    /// The start number of the process that descriptors were last released to; this process's own if there
+    /// Start number of the process to which this one last released descriptors; its own start number if there
     /// was none.
     released_to: u64,
 }
 
 impl<C: ClientConnections> HotRestart<C> {
-    /// Counts this process among the node's, in `store`.
+    /// Registers the start of this process in `store`.
     pub async fn register(
         store: Rc<StateStore>,
         lifecycle: Rc<Lifecycle>,
@@ -53,7 +54,7 @@
     ) -> HotRestart<C> {
         let mut start_number = 0;
         if let Err(error) = store.update(|state| start_number = state.register_process()).await {
-            log!("this process is not counted in the state file: {}", ErrorChain(&error));
+            log!("cannot register this process in the state file: {}", ErrorChain(&error));
         }
         let now = Instant::now();
         HotRestart {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Follows the state file for as long as the process runs, and calls `on_state_change` whenever another
+    /// Polls the state file for as long as the process runs, and calls `on_state_change` whenever another
     /// process has changed it.
     pub async fn run(mut self, on_state_change: impl Fn()) {
         loop {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Does what is due at `now`.
+    /// Performs the actions that are due at `now`.
     fn step(&mut self, now: Instant) {
         self.update_latest_start_number(now);
         self.connections.share_descriptors(self.shares_descriptors(now));
@@ -101,19 +102,19 @@
         }
     }
 
-    /// Whether another process may hold descriptors too.
+    /// Returns whether another process may be using descriptors too.
     fn shares_descriptors(&self, now: Instant) -> bool {
         self.latest_start_number > 1 && now - self.latest_start_observed_at < DESCRIPTOR_SHARING_PERIOD
     }
 
-    /// Whether a successor waits for descriptors, and this process keeps to its half or has tried for long
-    /// enough.
+    /// Returns whether a successor waits for descriptors, and this process is within its limit or
+    /// [`RELEASE_TIMEOUT`] has passed.
     fn can_release_descriptors(&self, now: Instant) -> bool {
         self.latest_start_number > self.released_to
             && (!self.connections.exceeds_limit() || now - self.latest_start_observed_at >= RELEASE_TIMEOUT)
     }
 
-    /// Whether no predecessor keeps this process from its part of the descriptors.
+    /// Returns whether this process no longer has to wait for a predecessor to release descriptors.
     fn are_descriptors_available(&self, now: Instant) -> bool {
         self.start_number <= 1
             || now - self.started_at >= AWAIT_RELEASE_TIMEOUT
--- a/src/node/lifecycle/mod.rs
+++ b/src/node/lifecycle/mod.rs
@@ -1,7 +1,7 @@
 //! The life cycle of the process: serving, standby, graceful shutdown and hot restart.
 //!
-//! [`Lifecycle`] is the state: the phase, readiness and the shutdown deadline. Connections, the health check
-//! and the admin API go by it. [`HotRestart`] and [`GracefulShutdown`] drive it.
+//! [`Lifecycle`] holds the state: the phase, readiness and the shutdown deadline. Connections, the health
+//! check and the admin API read it. [`HotRestart`] and [`GracefulShutdown`] change it.
 
 mod hot_restart;
 mod shutdown;
@@ -17,14 +17,14 @@
 pub use hot_restart::HotRestart;
 pub use shutdown::GracefulShutdown;
 
-/// What the node does with its clients. In all phases it serves those that come; in all but the first it
-/// closes each connection with its next response.
+/// How the node treats its clients. Requests are served in all phases. In all phases but `Serving`, each
+/// connection is closed with its next response.
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
     Serving,
-    /// Operators want the node empty: clients are to stay away, and idle connections are closed.
+    /// An operator drains the node: the health check fails, and idle connections are closed.
     Standby,
-    /// The process shuts down. `successor` says whether another process has its listening socket.
+    /// The process shuts down. `successor` is present if another process has its listening socket.
     Draining {
         successor: Option<Successor>,
     },
@@ -33,47 +33,48 @@
 /// The process that takes over in a hot restart.
 #[derive(Clone, Copy, PartialEq)]
 struct Successor {
-    /// Whether operators want the node empty all the same.
+    /// Whether operators have put the node into standby, which then applies to the successor.
     standby: bool,
 }
 
-/// How far the start of the process has come.
+/// Progress of the start of the process.
 #[derive(Clone, Copy, PartialEq)]
 enum Readiness {
-    /// A predecessor may still hold the descriptors that this process needs.
+    /// The predecessor may still hold descriptors that this process needs.
     AwaitingDescriptors,
-    /// No endpoint is ready yet.
+    /// No endpoint has been ready yet.
     AwaitingEndpoint,
-    /// The process has been able to serve at some time; from then on it stays ready.
+    /// The process has been able to serve requests. It stays ready from then on.
     Ready,
 }
 
-/// The connections of clients, as the life cycle drives them.
+/// The operations on downstream connections that the life cycle needs.
 pub trait ClientConnections {
-    /// Keeps to half of the node's descriptors while `shared`, to all of them otherwise. Connections beyond
-    /// the limit are closed as soon as they are idle.
+    /// Limits connections to half of the node's descriptors if `shared`, and to all of them otherwise.
+    /// Connections above the limit are closed as soon as they are idle.
     fn share_descriptors(&self, shared: bool);
 
-    /// Whether there are more connections than the limit, those that are about to close included.
+    /// Returns whether there are more connections than the limit, including those that are closing.
     fn exceeds_limit(&self) -> bool;
 
-    /// Closes connections as soon as they are idle, and waits until all are closed.
+    /// Closes each connection as soon as it is idle, and waits until all are closed.
     async fn drain(&self);
 }
 
-/// The phase of the process, whether it is ready to serve, and its shutdown deadline.
+/// The phase of the process, its readiness, and its shutdown deadline.
 pub struct Lifecycle {
     upstream: Rc<UpstreamPool>,
     phase: Cell<Phase>,
     readiness: Cell<Readiness>,
-    /// Notified whenever standby was switched on or off.
+    /// Notified whenever standby is switched on or off.
     standby_changed: Notify,
     /// Cancelled at the shutdown deadline.
     shutdown_deadline: CancellationToken,
 }
 
 impl Lifecycle {
-    /// A process that serves, and is ready once `upstream` has an endpoint to send to.
+    /// Creates the life cycle of a process in the serving phase. It becomes ready once `upstream` has a ready
+    /// endpoint.
     pub fn new(upstream: Rc<UpstreamPool>) -> Lifecycle {
         Lifecycle {
             upstream,
@@ -92,14 +93,14 @@
         }
     }
 
-    /// The process has its part of the node's descriptors.
+    /// Records that the process may use its part of the node's descriptors.
     pub fn mark_descriptors_available(&self) {
         if self.readiness.get() == Readiness::AwaitingDescriptors {
             self.readiness.set(Readiness::AwaitingEndpoint);
         }
     }
 
-    /// Whether requests can be served, now or once before.
+    /// Returns whether requests can be served, or could be served at an earlier time.
     pub fn is_ready(&self) -> bool {
         if self.readiness.get() == Readiness::AwaitingEndpoint && self.upstream.has_ready_endpoint() {
             self.readiness.set(Readiness::Ready);
@@ -107,8 +108,8 @@
         self.readiness.get() == Readiness::Ready
     }
 
-    /// Whether the health check of the front is answered with success: the node takes new clients, in this
-    /// process or in its successor.
+    /// Returns whether the health check of the load balancer in front succeeds, because the node accepts new
+    /// clients in this process or in its successor.
     pub fn passes_health_check(&self) -> bool {
         let accepts_clients = match self.phase.get() {
             Phase::Serving | Phase::Draining { successor: Some(Successor { standby: false }) } => true,
@@ -117,17 +118,17 @@
         self.is_ready() && accepts_clients
     }
 
-    /// Whether connections stay open after a response.
+    /// Returns whether connections stay open after a response.
     pub fn allows_keep_alive(&self) -> bool {
         self.phase.get() == Phase::Serving
     }
 
-    /// Whether the node is in standby.
+    /// Returns whether the node is in standby.
     pub fn is_standby(&self) -> bool {
         self.phase.get() == Phase::Standby
     }
 
-    /// The phase's name in the admin API.
+    /// Returns the name of the phase in the admin API.
     pub fn phase_name(&self) -> &'static str {
         match self.phase.get() {
             Phase::Serving => "serving",
@@ -155,24 +156,24 @@
         }
     }
 
-    /// Begins the graceful shutdown: from now on each response closes its connection. `has_successor` tells
+    /// Begins the graceful shutdown: each response closes its connection from now on. `has_successor` says
     /// whether another process accepts new connections on the same listening socket.
     fn begin_shutdown(&self, has_successor: bool) {
         let standby = self.is_standby();
         self.phase.set(Phase::Draining { successor: has_successor.then_some(Successor { standby }) });
     }
 
-    /// The shutdown deadline has come: whatever still waits for a response gets one at once.
+    /// Marks the shutdown deadline as passed: requests that still wait for a response fail at once.
     fn expire_shutdown_deadline(&self) {
         self.shutdown_deadline.cancel();
     }
 
-    /// Whether the shutdown deadline has passed.
+    /// Returns whether the shutdown deadline has passed.
     pub fn is_past_shutdown_deadline(&self) -> bool {
         self.shutdown_deadline.is_cancelled()
     }
 
-    /// Waits for the shutdown deadline.
+    /// Waits until the shutdown deadline has passed.
     pub async fn wait_for_shutdown_deadline(&self) {
         self.shutdown_deadline.cancelled().await;
     }
--- a/src/node/log.rs
+++ b/src/node/log.rs
@@ -1,10 +1,10 @@
-//! The node's log: lines on standard error.
+//! The log of the node, on standard error.
 
 use std::error::Error;
 use std::fmt;
 
-/// Writes a line to the log. One that can't be written is lost: whoever reads standard error may have closed
-/// it, and `eprintln!` would panic then.
+/// Writes a line to the log. A line that cannot be written is dropped: the reader of standard error may have
+/// closed it, and `eprintln!` would panic then.
 macro_rules! log {
     ($($line:tt)*) => {{
         use std::io::Write as _;
@@ -12,7 +12,7 @@
     }};
 }
 
-/// Writes an error and, behind it, the errors that caused it, separated by colons.
+/// Displays an error followed by its chain of causes, separated by colons.
 pub struct ErrorChain<'a>(pub &'a dyn Error);
 
 impl fmt::Display for ErrorChain<'_> {
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -1,5 +1,5 @@
-//! One node: it takes requests from clients, has the balancer decide which endpoint each goes to, and passes
-//! the endpoints' responses on.
+//! The node: it accepts requests from clients, has the balancer choose an endpoint for each, and forwards the
+//! responses of the endpoints.
 #![deny(unsafe_code)]
 
 #[macro_use]
@@ -43,14 +43,14 @@
 
 /// Runs the node until it has shut down.
 fn run() -> Result<(), StartError> {
-    // Before anything opens a descriptor, which could get the number of the one that was passed on.
+    // This comes before anything that opens a descriptor, which could get the number of the inherited one.
     let inherited = inherited_listener::from_environment()?;
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartError::Runtime)?;
     LocalSet::new().block_on(&runtime, serve(inherited))
 }
 
-/// Serves until SIGTERM, and shuts down.
+/// Serves until SIGTERM, and then shuts down gracefully.
 async fn serve(inherited: Option<std::net::TcpListener>) -> Result<(), StartError> {
     let Signals { hang_up, mut terminate } = Signals::handle()?;
     let shutdown = startup::start(inherited, hang_up).await?;
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration again at SIGHUP.
+//! Reloads the configuration on SIGHUP.
 
 use std::net::SocketAddr;
 
@@ -8,8 +8,8 @@
 use crate::config::Config;
 use crate::log::ErrorChain;
 
-/// Reads the configuration at `path` at each `hang_up` signal, for as long as the process runs. Only
-/// discovery's address changes while a node runs; it is sent to `discovery_address`. A file that is invalid
+/// Reloads the configuration at `path` on each `hang_up` signal, for as long as the process runs. Only the
+/// address of discovery can change while a node runs; it is sent to `discovery_address`. An invalid file
 /// changes nothing.
 pub async fn reload_on_sighup(
     path: String,
@@ -19,12 +19,12 @@
     while hang_up.recv().await.is_some() {
         match Config::read(&path) {
             Ok(config) => {
-                log!("{path} was read again; discovery is at {}", config.discovery);
+                log!("{path}: configuration reloaded, discovery at {}", config.discovery);
                 discovery_address.send_if_modified(|address| {
                     std::mem::replace(address, config.discovery) != config.discovery
                 });
             }
-            Err(error) => log!("{}; the configuration stays as it was", ErrorChain(&error)),
+            Err(error) => log!("configuration not reloaded: {}", ErrorChain(&error)),
         }
     }
 }
--- a/src/node/state_store/admin_state.rs
+++ b/src/node/state_store/admin_state.rs
@@ -1,7 +1,7 @@
-//! What the state file holds, and its form as JSON.
+//! The state in the state file, and its encoding as JSON.
 //!
-//! Processes of an older and a newer version of the program share one file during a hot restart: the keys,
-//! their order and the version number are a format to keep.
+//! Processes of an older and a newer version of the program share one file during a hot restart, so the keys,
+//! their order and the version number must not change.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,33 +11,33 @@
 
 use super::error::StateError;
 
-/// The version of the format. Nothing is known of files with another number.
+/// Version of the format. Files of other versions are ignored, since their fields are unknown.
 const FORMAT_VERSION: u32 = 1;
 
-/// How long the time of an endpoint's return is kept. No endpoint warms up for longer, so that the time says
-/// nothing any more afterwards.
+/// How long the time at which an endpoint left maintenance is kept. No endpoint's slow start takes longer, so
+/// the time has no effect afterwards.
 const RETURN_RETENTION: Duration = Duration::from_secs(600);
 
-/// What operators have ordered for the node, and how many processes it has had.
+/// The state that operators have set through the admin API, and the number of process starts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdminState {
-    /// How many processes of the node have started. A process's start number is this count right after its
-    /// own start; a higher one belongs to a successor.
+    /// Number of processes of the node that have started. The start number of a process is this count right
+    /// after its own start; its successors have higher start numbers.
     #[serde(rename = "starts")]
     pub process_starts: u64,
     /// Whether the node is in standby.
     pub standby: bool,
     /// The uids of the endpoints in maintenance.
     pub maintenance: BTreeSet<String>,
-    /// By uid, when endpoints left maintenance, in microseconds of Unix time, for as long as they may be
-    /// warming up.
+    /// The times at which endpoints left maintenance, by uid, in microseconds of Unix time. Entries are kept
+    /// for as long as the slow start of an endpoint may take.
     #[serde(rename = "returned")]
     pub returned_at: BTreeMap<String, u64>,
 }
 
 impl AdminState {
-    /// Counts one more process of the node, and returns its start number.
+    /// Registers the start of a process, and returns its start number.
     pub fn register_process(&mut self) -> u64 {
         self.process_starts += 1;
         self.process_starts
@@ -49,8 +49,8 @@
         self.maintenance.insert(uid);
     }
 
-    /// Takes an endpoint out of maintenance at `now`, in Unix time. A second call changes nothing: the
-    /// endpoint warms up from the first one on.
+    /// Takes an endpoint out of maintenance at `now`, in Unix time. A second call changes nothing: the slow
+    /// start of the endpoint begins with the first one.
     pub fn exit_maintenance(&mut self, uid: &str, now: Timestamp) {
         if self.maintenance.remove(uid) {
             let age = |returned_at| now.saturating_duration_since(Timestamp::from_micros(returned_at));
@@ -60,7 +60,7 @@
     }
 }
 
-/// The content of the state file.
+/// Top level of the state file.
 #[derive(Serialize, Deserialize)]
 struct StateFile<T> {
     version: u32,
@@ -68,9 +68,9 @@
     state: T,
 }
 
-/// Reads the content of a state file.
+/// Decodes the content of a state file.
 pub fn decode(text: &[u8]) -> Result<AdminState, StateError> {
-    // The version comes first: the state of another one need not have the fields of this one.
+    // The version is checked before the state is decoded: in other versions, the state may have other fields.
     let file: StateFile<serde_json::Value> = serde_json::from_slice(text).map_err(StateError::Malformed)?;
     match file.version {
         FORMAT_VERSION => serde_json::from_value(file.state).map_err(StateError::Malformed),
@@ -78,7 +78,7 @@
     }
 }
 
-/// The content of a state file.
+/// Encodes the content of a state file.
 pub fn encode(state: &AdminState) -> Result<Vec<u8>, StateError> {
     serde_json::to_vec(&StateFile { version: FORMAT_VERSION, state }).map_err(StateError::Encode)
 }
--- a/src/node/state_store/error.rs
+++ b/src/node/state_store/error.rs
@@ -1,4 +1,4 @@
-//! What can fail with the state file.
+//! Errors of the state store.
 
 use std::io;
 use std::path::PathBuf;
@@ -6,17 +6,17 @@
 
 use thiserror::Error;
 
-/// Why the state could not be read or changed.
+/// The reason why the state cannot be read or changed.
 #[derive(Debug, Error)]
 pub enum StateError {
     /// The file cannot be read.
     #[error("cannot read the state file")]
     Read(#[source] io::Error),
-    /// The file is not JSON, or lacks a field, or has one that is not known.
+    /// The file is not valid JSON, lacks a field, or has an unknown field.
     #[error("the state file is malformed")]
     Malformed(#[source] serde_json::Error),
-    /// The file was written in another version of the format.
-    #[error("the state file has version {found}, supported is {supported}")]
+    /// The file has another version of the format.
+    #[error("the state file has format version {found}, but only version {supported} is supported")]
     UnsupportedVersion {
         /// The version that the file names.
         found: u32,
@@ -31,21 +31,21 @@
         /// The cause.
         source: io::Error,
     },
-    /// Another process has kept the lock.
-    #[error("{} was still locked by another process after {} ms", path.display(), timeout.as_millis())]
+    /// Another process holds the lock.
+    #[error("{} is locked by another process; gave up after {} ms", path.display(), timeout.as_millis())]
     LockTimedOut {
         /// The lock file.
         path: PathBuf,
-        /// How long was waited for the lock.
+        /// How long the process waited for the lock.
         timeout: Duration,
     },
-    /// The new state cannot be written as JSON.
-    #[error("cannot encode the state")]
+    /// The new state cannot be encoded as JSON.
+    #[error("cannot encode the state as JSON")]
     Encode(#[source] serde_json::Error),
-    /// The new state cannot be written to disk, or not renamed to the state file.
+    /// The new file cannot be written, or cannot be renamed to the state file.
     #[error("cannot write {}", path.display())]
     Write {
-        /// The file that was to be written.
+        /// The new file.
         path: PathBuf,
         /// The cause.
         source: io::Error,
--- a/src/node/state_store/mod.rs
+++ b/src/node/state_store/mod.rs
@@ -1,7 +1,8 @@
-//! The state of the node that outlives its processes, in one small file that they share.
+//! The persistent state of the node, in one small file that its processes share.
 //!
-//! It is written by whichever process an operator calls, under a lock and by renaming, so that readers find
-//! the old content or the new one. The other processes read it again when it has changed.
+//! The process that receives an admin command writes the file: it holds a lock and renames a new file over
+//! the old one, so that readers see either the old or the new content. The other processes read the file
+//! again when it has changed.
 
 mod admin_state;
 mod error;
@@ -20,20 +21,20 @@
 
 use crate::log::ErrorChain;
 
-/// How often each process checks whether another one has written the file.
+/// Interval at which each process checks whether another one has written the file.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the files' names begin with: the program's former name, since a process of an older version has to
+/// Prefix of the file names. It is the former name of the program, since processes of older versions have to
 /// find the same files.
 const FILE_PREFIX: &str = "dunelink";
 
-/// How long to wait for the lock. Other processes hold it for one write.
+/// How long to wait for the lock. Other processes hold it for the duration of one write.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How often to try for the lock meanwhile.
+/// Interval between attempts to take the lock.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Tells one writing of the file from another.
+/// File metadata that differs after each write.
 #[derive(Clone, Copy, PartialEq)]
 struct FileVersion {
     inode: u64,
@@ -54,16 +55,16 @@
     }
 }
 
-/// The state file of a node, and the state that it held when it was last read or written.
+/// The state file of a node, and the state that was last read from it or written to it.
 pub struct StateStore {
     path: PathBuf,
     state: RefCell<AdminState>,
-    /// The version of the file that was last read, whether or not it could be decoded.
+    /// The version of the file that was last read, even if it could not be decoded.
     last_read: Cell<Option<FileVersion>>,
 }
 
 impl StateStore {
-    /// Opens the state file of the node `name` in `folder`. Without a file, or where it cannot be read, the
+    /// Opens the state file of the node `name` in `folder`. If the file does not exist or cannot be read, the
     /// state is the default one.
     pub fn open(folder: &Path, name: &str) -> StateStore {
         let file_name_char = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
@@ -77,15 +78,15 @@
         store
     }
 
-    /// The state as last read or written.
+    /// Returns the state that was last read or written.
     pub fn state(&self) -> AdminState {
         self.state.borrow().clone()
     }
 
-    /// Reads the file if it was written since the last time. Returns whether the state has changed. A file
-    /// that cannot be read or decoded is logged once and changes nothing.
+    /// Reads the file if it was written since the last read, and returns whether the state has changed. A
+    /// file that cannot be read or decoded is logged once and leaves the state unchanged.
     pub fn refresh(&self) -> bool {
-        // Without a file the last state still holds: the file was there when it was read, and may come back.
+        // If the file is missing, the last state stays valid: the file existed before, and may reappear.
         let Ok(version) = FileVersion::of(&self.path) else { return false };
         if self.last_read.replace(Some(version)) == Some(version) {
             return false;
@@ -93,21 +94,21 @@
         match self.load() {
             Ok(state) => self.state.replace(state.clone()) != state,
             Err(error) => {
-                log!("{}: {}; ignored until it is written again", self.path.display(), ErrorChain(&error));
+                log!("ignoring {} until it is written again: {}", self.path.display(), ErrorChain(&error));
                 false
             }
         }
     }
 
-    /// Changes the state and writes it to the file.
+    /// Applies `change` to the state and writes the result to the file.
     ///
     /// # Errors
     ///
-    /// If the file cannot be locked within 400 ms or cannot be written; nothing is changed then.
+    /// Fails if the file cannot be locked within 400 ms or cannot be written. The state is unchanged then.
     pub async fn update(&self, change: impl FnOnce(&mut AdminState)) -> Result<(), StateError> {
         let _lock = self.lock().await?;
-        // No await from here to the renaming: neither this process nor another one comes between reading and
-        // writing.
+        // There is no await from here to the rename, and the lock is held: no other task and no other process
+        // can change the state between the read and the write.
         self.refresh();
         let mut state = self.state();
         change(&mut state);
@@ -139,7 +140,7 @@
         Ok(file)
     }
 
-    /// Writes a new file beside the old one and renames it.
+    /// Writes a new file next to the state file, and renames it to the state file.
     fn write(&self, state: &AdminState) -> Result<(), StateError> {
         let text = admin_state::encode(state)?;
         let path = self.path.with_extension("new");
@@ -149,21 +150,20 @@
     }
 }
 
-/// The release of descriptors to a successor stands in a file beside the state: an older version of the
-/// program, which does not know of it, has to be able to read the state.
+/// The release of descriptors to a successor is recorded in a separate file: older versions of the program,
+/// which do not know of it, have to be able to read the state file.
 impl StateStore {
     fn release_path(&self) -> PathBuf {
         self.path.with_extension("given-way")
     }
 
-    /// Records that the process with this start number has its part of the node's descriptors.
+    /// Records that descriptors of the node were released to the process with this start number.
     pub fn release_descriptors(&self, start_number: u64) {
-        // Where this fails, the successor stops waiting for it after a while.
+        // If this fails, the successor stops waiting after a timeout.
         let _ = fs::write(self.release_path(), start_number.to_string());
     }
 
-    /// Whether the process with this start number, or a later one, was given its part of the node's
-    /// descriptors.
+    /// Returns whether descriptors were released to the process with this start number or to a later one.
     pub fn were_descriptors_released(&self, start_number: u64) -> bool {
         fs::read_to_string(self.release_path())
             .is_ok_and(|text| text.parse().is_ok_and(|released: u64| released >= start_number))
--- a/tests/node/admin.rs
+++ b/tests/node/admin.rs
@@ -46,11 +46,11 @@
     let mut truncated = node.admin_client();
     truncated.send(b"POST /maintenance/enter HTTP/1.1\r\nHost: n\r\nContent-Length: 12\r\n\r\n{\"host\"");
     truncated.stream.shutdown(std::net::Shutdown::Write).unwrap();
-    assert!(truncated.reaches_close(), "a truncated call is none");
+    assert!(truncated.reaches_close(), "the connection closes after a truncated request");
     assert_eq!(node.admin_status()["maintenance"], json!([]));
     assert_eq!(node.admin_status()["phase"], "serving");
     assert_eq!((node.health(), node.client().exchange(&view_request()).status()), (200, 200));
-    // One call for each connection.
+    // Each connection serves one request.
     let mut caller = node.admin_client();
     let response = caller.exchange(&admin_request("GET", "/status", ""));
     assert_eq!(response.header("connection"), Some("close"));
@@ -70,11 +70,11 @@
     for _ in 0..5 {
         let started = Instant::now();
         assert_eq!(node.admin_request("GET", "/status", "").status(), 200);
-        // An idle machine takes a thousandth of this; the response is promised within a second.
+        // The admin API has to respond within 1 s. An idle machine takes a thousandth of the bound of 2 s.
         assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
     }
     assert!(node.open_descriptors() <= 64, "{} descriptors", node.open_descriptors());
-    assert!(stalled.iter_mut().all(Connection::reaches_close), "stalled callers are not waited for");
+    assert!(stalled.iter_mut().all(Connection::reaches_close), "connections of stalled callers are closed");
     assert_eq!(node.admin_status()["phase"], "serving");
 }
 
@@ -102,7 +102,7 @@
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
     let state_dir = state_dir();
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir);
-    wait_until("the start is stored", || state_file(&state_dir).exists());
+    wait_until("the process start is stored", || state_file(&state_dir).exists());
     fs::remove_dir_all(&state_dir).unwrap();
     assert_eq!(node.set_maintenance("enter", "a"), 500);
     assert_eq!(node.admin_request("POST", "/standby", "").status(), 500);
--- a/tests/node/hot_restart.rs
+++ b/tests/node/hot_restart.rs
@@ -1,4 +1,4 @@
-//! Two processes of a node on one inherited listener.
+//! Hot restart: two processes of a node share one inherited listener.
 
 use std::net::{TcpListener, TcpStream};
 use std::process::Command;
@@ -27,7 +27,7 @@
     let new = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
     wait_until("the successor can serve", || new.admin_request("GET", "/status", "").status() == 200);
     old.terminate();
-    // For the load balancer in front it is the same node, and it serves on.
+    // To the load balancer in front, both processes are one node, which keeps serving.
     wait_until("the old process is draining", || {
         let response = old.admin_request("GET", "/status", "");
         String::from_utf8_lossy(&response.body).contains("leaving")
@@ -56,7 +56,7 @@
     upstream.next_request();
     old.terminate();
     wait_until("the old process is draining", || old.admin_status()["phase"] == "leaving");
-    // It still has work but accepts nothing, and its exit resets nothing.
+    // The old process still has an active request but accepts no connections, and its exit resets none.
     let mut waiting = old.client();
     waiting.send(&view_request());
     assert_eq!(busy.receive().body, b"slip");
@@ -109,16 +109,16 @@
     assert_eq!(old.set_maintenance("enter", "a"), 200);
     assert_eq!(old.admin_request("POST", "/standby", "").status(), 200);
     let new = Node::with_inherited_listener(&targets, &listener, &state_dir);
-    wait_until("the old process has closed connections", || {
+    wait_until("the old process has released descriptors", || {
         new.admin_request("GET", "/status", "").status() == 200
     });
     assert_eq!(new.admin_status(), json!({"phase": "standby", "able": true, "maintenance": ["a"]}));
-    // A call to the new process applies to the old one from its response on.
+    // A command to the new process applies to the old one by the time of its response.
     assert_eq!(new.admin_request("POST", "/active", "").status(), 200);
     assert_eq!((new.set_maintenance("exit", "a"), new.set_maintenance("enter", "b")), (200, 200));
     assert_eq!(old.admin_status(), json!({"phase": "serving", "able": true, "maintenance": ["b"]}));
     let before = two.request_count();
-    // The other endpoint is in slow start: some of these are rejected.
+    // Endpoint "a" is in slow start, so some of these requests are rejected.
     let bodies: Vec<_> = (0..50).map(|_| new.client().exchange(&view_request()).body).collect();
     assert!(bodies.iter().any(|body| body == b"one"));
     assert_eq!(two.request_count(), before);
@@ -164,15 +164,15 @@
     let targets: Vec<Value> = (0..12).map(|n| ready_endpoint(&format!("s{n}"), &upstream)).collect();
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
     let old = Node::with_inherited_listener_and_sockets(&targets, &listener, &state_dir, SOCKETS);
-    // A third of the descriptors are for clients with requests, and many more for idle clients.
+    // A third of the descriptors are used by clients with active requests, and 100 more by idle clients.
     let mut busy: Vec<Connection> = (0..SOCKETS / 3).map(|_| old.client()).collect();
     busy.iter_mut().for_each(|client| client.send(&request("POST", "/order/1", "14", "", "yen")));
-    wait_until("some are at endpoints", || upstream.request_count() >= 12);
+    wait_until("12 requests are at endpoints", || upstream.request_count() >= 12);
     let new = Node::with_inherited_listener_and_sockets(&targets, &listener, &state_dir, SOCKETS);
-    // The older process accepts them until it knows of its successor.
+    // The old process accepts these connections until it knows of its successor.
     let mut idle: Vec<Connection> = (0..100).map(|_| old.client()).collect();
     let mut polls = 0;
-    wait_until("the successor serves for a second", || {
+    wait_until("the successor is ready in 100 polls", || {
         let (older, newer) = (old.open_descriptors(), new.open_descriptors());
         assert!(older + newer <= SOCKETS, "{older} and {newer} descriptors of {SOCKETS}");
         idle.iter_mut().filter(|client| client.has_unread_data()).for_each(|client| *client = old.client());
--- a/tests/node/maintenance.rs
+++ b/tests/node/maintenance.rs
@@ -1,4 +1,4 @@
-//! Endpoints in maintenance.
+//! Maintenance of endpoints.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
@@ -28,7 +28,7 @@
     assert_eq!((node.set_maintenance("enter", "a"), node.set_maintenance("enter", "a")), (200, 200));
     assert_eq!(node.admin_status()["maintenance"], json!(["a"]));
     assert_eq!(node.client().exchange(&view_request()).status(), 503, "no other endpoint is ready");
-    assert_eq!(waiting.receive().body, b"late", "it finishes what it has");
+    assert_eq!(waiting.receive().body, b"late", "an endpoint in maintenance completes its active requests");
     let mut restarted = ready_endpoint("a", &one);
     restarted["boot_ms"] = 1.into();
     let mut rev = 50;
@@ -39,18 +39,21 @@
     ] {
         rev += 1;
         watch.send_delta(rev, &[entry, ready_endpoint("b", &two)]);
-        wait_until("the list applies", || node.client().exchange(&view_request()).body == b"two");
+        wait_until("the endpoint list is applied", || node.client().exchange(&view_request()).body == b"two");
         (0..20).for_each(|_| assert_eq!(node.client().exchange(&view_request()).body, b"two"));
     }
     rev += 1;
     watch.send_line(&json!({"rev": rev, "all": true, "targets": [ready_endpoint("a", &one)]}).to_string());
-    wait_until("the list applies", || node.client().exchange(&view_request()).status() == 503);
+    wait_until("the endpoint list is applied", || node.client().exchange(&view_request()).status() == 503);
     assert_eq!(one.request_count(), 2);
     assert_eq!((node.set_maintenance("exit", "a"), node.set_maintenance("exit", "a")), (200, 200));
     assert_eq!(node.client().exchange(&view_request()).body, b"one");
     let connections: Vec<usize> = (0..3).map(|_| one.next_request().0).collect();
-    assert!(!connections[..2].contains(&connections[2]), "on a new connection: {connections:?}");
-    // Discovery has removed `b`, but the admin API still knows it.
+    assert!(
+        !connections[..2].contains(&connections[2]),
+        "requests after maintenance use a new connection: {connections:?}"
+    );
+    // Discovery no longer lists `b`, but the admin API still knows it.
     assert_eq!((node.set_maintenance("enter", "b"), node.set_maintenance("exit", "b")), (200, 200));
 }
 
@@ -82,8 +85,8 @@
     busy.send(&order_request());
     assert_eq!(upstream.next_request().0, 0);
     assert_eq!((node.set_maintenance("enter", "a"), node.set_maintenance("exit", "a")), (200, 200));
-    assert_eq!(busy.receive().body, b"slip", "it is answered after maintenance");
+    assert_eq!(busy.receive().body, b"slip", "the active request completes after maintenance");
     assert_eq!(upstream.next_closed_connection(), 0);
-    wait_until("it is used again", || node.client().exchange(&view_request()).status() == 200);
+    wait_until("the endpoint is used again", || node.client().exchange(&view_request()).status() == 200);
     assert_eq!(upstream.next_request().0, 1);
 }
--- a/tests/node/reload.rs
+++ b/tests/node/reload.rs
@@ -18,18 +18,18 @@
     node.reload_config("{\"name\": 3}");
     watch.send_delta(58, &[endpoint_entry("a", one.address, 1, "draining"), ready_endpoint("b", &two)]);
     while node.client().exchange(&view_request()).status() != 200 {}
-    // The first request is still active: it has lost neither its endpoint nor its client.
+    // The first request is still active, with its endpoint and its client.
     let new_discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     node.reload_config(&node.config_with_discovery(&new_discovery));
     let mut moved = Watch::accept(&new_discovery);
     assert_eq!(moved.request.start_line, "GET /catalog/members?watch=1&from=58 HTTP/1.1");
-    assert_eq!(node.client().exchange(&view_request()).body, b"two", "the list stays");
+    assert_eq!(node.client().exchange(&view_request()).body, b"two", "the endpoint list is kept");
     moved.send_delta(59, &[endpoint_entry("b", two.address, 1, "gone")]);
     two.next_closed_connection();
     assert_eq!(waiting.receive().status(), 504);
 }
 
-/// Writes to the log fail then.
+/// Guards against a panic on a failed write to the log.
 #[test]
 fn a_closed_log_pipe_does_not_stop_the_node() {
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
@@ -42,7 +42,8 @@
     assert_eq!(node.client().exchange(&view_request()).body, b"slip");
 }
 
-/// Where lists are polled, the backoff between calls grows; a new address does not wait for it.
+/// When endpoint lists are polled, failed polls increase the backoff; a new address is polled without waiting
+/// for it.
 #[test]
 fn polling_switches_to_a_new_discovery_address_at_once() {
     let upstream = UpstreamServer::new(|_, _| ok("known"));
@@ -74,9 +75,9 @@
     node.reload_config(&node.config_with_discovery(&moved));
     let mut new = Watch::accept(&moved);
     assert_eq!(new.request.start_line, "GET /catalog/members?watch=1&from=41 HTTP/1.1");
-    // The node may have closed the old watch by now.
+    // The node may have closed the old watch already.
     old.try_send_line(rest);
     assert!(serves_every_class(&node, "known"));
     new.send_delta(60, &[endpoint_entry("a", known.address, 1, "draining"), ready_endpoint("c", &other)]);
-    wait_until("the change applies", || serves_every_class(&node, "other"));
+    wait_until("the change is applied", || serves_every_class(&node, "other"));
 }
--- a/tests/node/shutdown.rs
+++ b/tests/node/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: every accepted request is answered before SIGKILL is due.
+//! Graceful shutdown: every accepted request gets a response before SIGKILL.
 
 use std::net::{TcpListener, TcpStream};
 use std::thread;
@@ -8,7 +8,7 @@
 
 use crate::support::*;
 
-/// A node whose longest deadline is a second; SIGKILL is due 0.7 s later.
+/// Starts a node whose longest request deadline is 1 s; SIGKILL follows 0.7 s later.
 fn start_with_short_deadlines(endpoints: &[Value], sockets: usize) -> Node {
     Node::with_config(endpoints, |config| {
         config["limits"]["sockets"] = sockets.into();
@@ -19,13 +19,13 @@
     })
 }
 
-/// How many client connections a node with 36 sockets has when all of them have requests that wait.
+/// Number of client connections of a node with 36 sockets when each has a request without a response.
 const MAX_CLIENT_CONNECTIONS: usize = 6;
 
-/// From SIGTERM to SIGKILL.
+/// Time from SIGTERM to SIGKILL.
 const KILL_AFTER: Duration = Duration::from_millis(1700);
 
-/// Kills the node when the platform would.
+/// Kills the node `KILL_AFTER` after SIGTERM, as the platform does.
 fn kill_when_due(node: &mut Node, signalled_at: Instant) {
     thread::sleep((signalled_at + KILL_AFTER).saturating_duration_since(Instant::now()));
     node.kill();
@@ -34,12 +34,12 @@
 #[test]
 fn a_late_request_on_an_open_connection_is_answered_before_sigkill() {
     let upstream = UpstreamServer::new(|_, _| Reply::Never);
-    // So few descriptors that partial requests take all connections, and the last clients stay in the backlog.
+    // With 60 descriptors, partial requests use all connections, and the last clients stay in the backlog.
     let mut node = start_with_short_deadlines(&[ready_endpoint("a", &upstream)], 60);
     let order = order_request();
     let mut partial: Vec<Connection> = (0..30).map(|_| node.client()).collect();
     partial.iter_mut().for_each(|client| client.send(&order[..20]));
-    // By now the node has read from all that it accepted.
+    // After this pause, the node has read from all accepted connections.
     pause_before_reuse();
     let signalled_at = Instant::now();
     node.terminate();
@@ -52,7 +52,7 @@
     assert!([502, 503, 504].contains(&response.status()), "{response:?}");
 }
 
-/// All connections close at the shutdown deadline, and those in the backlog are accepted then.
+/// At the shutdown deadline all connections close, and the node accepts those that remain in the backlog.
 #[test]
 fn connections_in_the_backlog_at_the_shutdown_deadline_are_answered() {
     let upstream = UpstreamServer::new(|_, _| Reply::Never);
@@ -66,7 +66,8 @@
     let mut queued: Vec<Connection> = (0..5).map(|_| node.client()).collect();
     queued.iter_mut().for_each(|client| client.send(&view_request()));
     thread::sleep((signalled_at + Duration::from_millis(1200)).saturating_duration_since(Instant::now()));
-    // Some are sent, the others queued: all wait until the shutdown deadline.
+    // Some of these requests are sent to the endpoint, the others are queued. All wait until the shutdown
+    // deadline.
     for (n, client) in partial.iter_mut().enumerate() {
         client.send(&order[20..]);
         assert!(n > 0 || upstream.next_request().1.start_line.starts_with("POST"));
@@ -90,7 +91,7 @@
     body.send(&submit[..submit.len() - 2]);
     pause_before_reuse();
     node.terminate();
-    // From the signal on, the health check fails.
+    // The health check fails once the node has received the signal.
     while node.health() == 200 {}
     head.send(&view[25..]);
     body.send(&submit[submit.len() - 2..]);
@@ -116,7 +117,7 @@
     };
     let mut streaming = send_and_accept(&mut first);
     let mut rejecting = send_and_accept(&mut second);
-    // The endpoint's concurrency limit is reached: this one is queued.
+    // The concurrency limit of the endpoint is reached, so this request is queued.
     queued.send(&view_request());
     streaming.send(b"HTTP/1.1 200 X\r\nContent-Length: 100000\r\n\r\n");
     streaming.send(&vec![b'h'; 70_000]);
@@ -125,7 +126,7 @@
     node.reload_config(&node.config_with_discovery(&moved));
     while node.health() == 200 {}
     Watch::accept(&moved).keep_alive();
-    // The rejected one is retried, the queued one is sent, and the streaming one continues.
+    // The rejected request is retried, the queued one is sent, and the streamed response continues.
     rejecting.send(&response(503, "Srv-Declined: 1\r\nConnection: close\r\n", ""));
     for _ in 0..2 {
         let mut connection = Connection::from_stream(accept_connection(&a));
@@ -171,7 +172,7 @@
     upstream.next_request();
     upstream.next_request();
     node.terminate();
-    // The signal arrives about now: the node serves on until it announces the close.
+    // The signal arrives during this loop; the node serves requests until it announces the close.
     loop {
         let response = kept.exchange(&view_request());
         assert_eq!(response.status(), 200);
@@ -180,7 +181,7 @@
         }
     }
     assert!(kept.is_closed());
-    // The node exits before the request's deadline; no response at all would be worse than a failure.
+    // The node exits before the deadline of this request, which fails rather than getting no response.
     assert_eq!(waiting.receive().status(), 504);
     assert!(node.wait_for_exit().success());
     assert!(TcpStream::connect(node.address).is_err());
--- a/tests/node/standby.rs
+++ b/tests/node/standby.rs
@@ -1,4 +1,4 @@
-//! Standby and its drain.
+//! Standby, and the draining of connections in standby.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -19,7 +19,7 @@
         (kept.exchange(&view_request()).status(), idle.exchange(&view_request()).status()),
         (200, 200)
     );
-    assert_eq!(node.admin_request("POST", "/active", "").status(), 200, "it serves already");
+    assert_eq!(node.admin_request("POST", "/active", "").status(), 200, "the node is already active");
     assert_eq!(node.admin_request("POST", "/standby", "").status(), 200);
     let draining_since = Instant::now();
     assert_eq!(node.health(), 503);
@@ -27,21 +27,21 @@
         (node.admin_request("GET", "/status", "").status(), node.admin_status()["phase"].as_str()),
         (200, Some("standby"))
     );
-    // Clients with a connection and new ones are served, with the announcement of the close.
+    // Requests on open and on new connections are served, with `Connection: close`.
     let mut late = node.client();
     for client in [&mut kept, &mut late] {
         let response = client.exchange(&view_request());
         assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     }
     assert!(idle.is_closed() && kept.is_closed() && late.is_closed());
-    // An idle connection closes after 2.5 s in any case; the load balancer in front waits for 4 s.
+    // An idle connection closes after 2.5 s even without standby; the load balancer in front waits for 4 s.
     assert!(draining_since.elapsed() < Duration::from_millis(1800), "{:?}", draining_since.elapsed());
     assert_eq!(busy.receive().body, b"slip");
     assert!(busy.is_closed());
     assert_eq!(node.admin_request("POST", "/active", "").status(), 200);
     assert_eq!(node.health(), 200);
     assert_eq!(node.client().exchange(&view_request()).header("connection"), None);
-    // Active again before it was drained: open connections stay.
+    // A return to service before the node is drained keeps open connections.
     let mut stays = node.client();
     assert_eq!(stays.exchange(&view_request()).status(), 200);
     assert_eq!(node.admin_request("POST", "/standby", "").status(), 200);
--- a/tests/node/startup.rs
+++ b/tests/node/startup.rs
@@ -1,4 +1,4 @@
-//! What a node that cannot start says.
+//! Error messages of a node that fails to start.
 
 use std::net::TcpListener;
 
--- a/tests/node/version_upgrade.rs
+++ b/tests/node/version_upgrade.rs
@@ -1,4 +1,4 @@
-//! From one version of the program to another: the state file, and hot restart between the two.
+//! Upgrades between two versions of the program: the state file, and hot restart from one to the other.
 
 use std::fs;
 use std::io::Write;
@@ -12,14 +12,15 @@
 
 use crate::support::*;
 
-/// Descriptors of the node: few enough for both processes to notice.
+/// Descriptors of the node, few enough that both processes reach their limits.
 const SOCKETS: usize = 160;
 
-/// How many connections send requests while one process takes over from the other.
+/// Number of connections that send requests while one process takes over from the other.
 const LOAD_CONNECTIONS: usize = 4;
 
-/// A state file as the program wrote it at dd85554, under its name there.
+/// Name of the state file.
 const STATE_FILE_NAME: &str = "dunelink-n0.json";
+/// A state file as written by the program at dd85554.
 const PREVIOUS_STATE_FILE: &str = r#"{"version":1,"orders":{"starts":3,"standby":true,"maintenance":["a","b"],"returned":{"c":1764680000000000}}}"#;
 
 #[test]
@@ -33,7 +34,7 @@
     assert_eq!(node.admin_status(), json!({"phase": "standby", "able": true, "maintenance": ["a", "b"]}));
     assert_eq!(node.health(), 503);
     let started = PREVIOUS_STATE_FILE.replace("\"starts\":3", "\"starts\":4");
-    wait_until("it has counted itself", || fs::read_to_string(&path).unwrap() == started);
+    wait_until("the process is registered", || fs::read_to_string(&path).unwrap() == started);
     assert_eq!(node.admin_request("POST", "/active", "").status(), 200);
     assert_eq!(fs::read_to_string(&path).unwrap(), started.replace("\"standby\":true", "\"standby\":false"));
     assert_eq!(node.set_maintenance("exit", "b"), 200);
@@ -47,18 +48,18 @@
     assert_eq!(files, [STATE_FILE_NAME, "dunelink-n0.lock"]);
 }
 
-/// What clients have seen.
+/// The load of the clients, and what they have received.
 #[derive(Default)]
 struct Load {
     stop: AtomicBool,
     answered: AtomicUsize,
-    /// Requests sent once more, on a new connection, as the node had closed the one that they were sent on: the
-    /// protocol allows for that between requests.
+    /// Requests sent again on a new connection, because the node had closed the previous one. The protocol
+    /// allows a connection to be closed between requests.
     resent: AtomicUsize,
 }
 
 impl Load {
-    /// Sends one request after the other. Each is answered by the endpoint that is not in maintenance.
+    /// Sends requests one after the other. The endpoint that is not in maintenance answers each.
     fn run(&self, address: SocketAddr) {
         let (mut client, mut is_new) = (Connection::open(address), true);
         while !self.stop.load(Ordering::SeqCst) {
@@ -92,14 +93,14 @@
         self.answered.load(Ordering::SeqCst)
     }
 
-    /// Waits until this many more requests are answered.
+    /// Waits until `requests` more requests are answered.
     fn wait_for_more_answers(&self, requests: usize) {
         let before = self.answered();
         wait_until("clients are served", || self.answered() >= before + requests);
     }
 }
 
-/// Ends the load, also where the test fails.
+/// Stops the load when dropped, so that it also ends if the test fails.
 struct StopOnDrop<'a>(&'a Load);
 
 impl Drop for StopOnDrop<'_> {
@@ -108,17 +109,17 @@
     }
 }
 
-/// The program of the version before.
+/// Returns the program of the previous version.
 fn previous_program() -> PathBuf {
     let named = std::env::var_os("MOTHSPOOL_PREVIOUS");
-    named.expect("MOTHSPOOL_PREVIOUS names a program of the version before").into()
+    named.expect("MOTHSPOOL_PREVIOUS is not set to a program of the previous version").into()
 }
 
 fn current_program() -> PathBuf {
     env!("CARGO_BIN_EXE_mothspool").into()
 }
 
-/// The endpoint "a", and "b" and "c", which are to be in maintenance.
+/// The endpoint "a", and the endpoints "b" and "c", which the test puts into maintenance.
 struct Endpoints {
     serving: UpstreamServer,
     in_maintenance: UpstreamServer,
@@ -138,7 +139,7 @@
         endpoints.map(|(uid, upstream)| ready_endpoint(uid, upstream))
     }
 
-    /// Sends a request that takes 2.5 s, and returns once its endpoint has it.
+    /// Sends a request that takes 2.5 s, and returns once the endpoint has received it.
     fn send_slow_request(&self, node: &Node) -> Connection {
         let mut client = node.client();
         client.send(&order_request());
@@ -151,14 +152,15 @@
     node.admin_request("GET", "/status", "").status() == 200
 }
 
-/// The state file after this many starts.
+/// Returns the content of the state file after this many process starts.
 fn state_file(starts: u32, standby: bool) -> String {
     format!(
         r#"{{"version":1,"orders":{{"starts":{starts},"standby":{standby},"maintenance":["b","c"],"returned":{{}}}}}}"#
     )
 }
 
-/// What was ordered of the older process holds for the newer one, and what either is told holds for both.
+/// Checks that the admin state of the older process applies to the newer one, and that commands to either
+/// process apply to both.
 fn assert_admin_state_is_shared(older: &Node, newer: &Node) {
     let standby = json!({"phase": "standby", "able": true, "maintenance": ["b", "c"]});
     assert_eq!(newer.admin_status(), standby);
@@ -170,14 +172,14 @@
     assert_eq!(newer.admin_status()["phase"], "serving");
 }
 
-/// Runs a node with one program, has the other take over under load, and ends the first.
+/// Runs a node with the program `from`, has `to` take over under load, and shuts the first process down.
 fn check_takeover(from: &Path, to: &Path) {
     let (endpoints, state_dir) = (Endpoints::new(), state_dir());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let start = |program| Node::with_program(program, &endpoints.list(), &listener, &state_dir, SOCKETS);
     let read = |file: &str| fs::read_to_string(state_dir.join(file)).unwrap();
     let mut older = start(from);
-    wait_until("the older one serves", || is_ready(&older));
+    wait_until("the older process serves", || is_ready(&older));
     assert_eq!((older.set_maintenance("enter", "b"), older.set_maintenance("enter", "c")), (200, 200));
     assert_eq!(older.admin_request("POST", "/standby", "").status(), 200);
     assert_eq!(read(STATE_FILE_NAME), state_file(1, true));
@@ -190,14 +192,14 @@
         let before = load.answered();
 
         let newer = start(to);
-        wait_until("the newer one serves", || is_ready(&newer));
+        wait_until("the newer process serves", || is_ready(&newer));
         assert_eq!(read("dunelink-n0.given-way"), "2");
         assert!(older.open_descriptors() + newer.open_descriptors() <= SOCKETS);
         assert_admin_state_is_shared(&older, &newer);
         load.wait_for_more_answers(100);
         older.terminate();
-        wait_until("the older one shuts down", || older.admin_status()["phase"] == "leaving");
-        assert_eq!(older.health(), 200, "the node serves");
+        wait_until("the older process shuts down", || older.admin_status()["phase"] == "leaving");
+        assert_eq!(older.health(), 200, "the health check succeeds while the newer process serves");
         assert_eq!(slow.receive().body, b"late");
         assert!(older.wait_for_exit().success());
         let during = load.answered() - before;
@@ -211,10 +213,10 @@
         let resent = load.resent.load(Ordering::SeqCst);
         let _ = writeln!(
             std::io::stderr(),
-            "requests answered: {before} before, {during} during and {after} after; {resent} of them sent again"
+            "requests answered: {before} before, {during} during, {after} after; {resent} sent again"
         );
     });
-    assert_eq!(endpoints.in_maintenance.request_count(), 0, "nothing goes to an endpoint in maintenance");
+    assert_eq!(endpoints.in_maintenance.request_count(), 0, "endpoints in maintenance get no requests");
     assert_eq!(read(STATE_FILE_NAME), state_file(2, false));
 }
 
@@ -224,13 +226,13 @@
 }
 
 #[test]
-#[ignore = "needs MOTHSPOOL_PREVIOUS, a program of the version before"]
+#[ignore = "needs a program of the previous version in MOTHSPOOL_PREVIOUS"]
 fn the_current_version_takes_over_from_the_previous_version() {
     check_takeover(&previous_program(), &current_program());
 }
 
 #[test]
-#[ignore = "needs MOTHSPOOL_PREVIOUS, a program of the version before"]
+#[ignore = "needs a program of the previous version in MOTHSPOOL_PREVIOUS"]
 fn the_previous_version_takes_over_from_the_current_version() {
     check_takeover(&current_program(), &previous_program());
 }
--- a/tests/unit/admin_commands.rs
+++ b/tests/unit/admin_commands.rs
@@ -16,8 +16,8 @@
         (Method::POST, "/active", Command::ExitStandby),
     ];
     for (method, path, command) in commands {
-        let wrong = if method == Method::GET { Method::POST } else { Method::GET };
-        let error = route(wrong, path).unwrap_err();
+        let wrong_method = if method == Method::GET { Method::POST } else { Method::GET };
+        let error = route(wrong_method, path).unwrap_err();
         assert!(matches!(&error, CommandError::WrongMethod { allowed } if *allowed == method), "{path}");
         assert_eq!(route(method, path).unwrap().command(body).unwrap(), command);
     }
--- a/tests/unit/hot_restart.rs
+++ b/tests/unit/hot_restart.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::unit_support::{TempFolder, upstream};
 
-/// Connections whose number is set by the test.
+/// Connections that exceed their limit as the test says, and record whether descriptors are shared.
 #[derive(Default)]
 struct FakeConnections {
     shared: Cell<bool>,
@@ -33,7 +33,7 @@
     [(); N].map(register)
 }
 
-/// What a poll of the state file does at this time.
+/// Polls the state file once, at this time.
 fn poll(process: &mut HotRestart<FakeConnections>, now: Instant) {
     process.store.refresh();
     process.step(now);
@@ -76,7 +76,7 @@
     poll(&mut older, now + Duration::from_millis(50));
     assert!(newer.are_descriptors_available(now));
     poll(&mut newer, now);
-    assert_eq!((older.released_to, newer.released_to), (2, 2), "the newer one has no successor");
+    assert_eq!((older.released_to, newer.released_to), (2, 2), "the newer process has no successor");
 }
 
 #[test]
--- a/tests/unit/lifecycle.rs
+++ b/tests/unit/lifecycle.rs
@@ -8,7 +8,7 @@
     lifecycle
 }
 
-/// The phase's name, and whether clients are welcome and keep their connections.
+/// Returns the phase's name, whether the health check succeeds, and whether connections stay open.
 fn observed_state(lifecycle: &Lifecycle) -> (&'static str, bool, bool) {
     (lifecycle.phase_name(), lifecycle.passes_health_check(), lifecycle.allows_keep_alive())
 }
@@ -31,7 +31,7 @@
     assert_eq!(observed_state(&lifecycle), ("leaving", true, false));
     lifecycle.set_standby(true);
     assert_eq!(observed_state(&lifecycle), ("leaving", false, false));
-    assert!(!lifecycle.is_standby(), "its connections are closed by the shutdown");
+    assert!(!lifecycle.is_standby(), "the shutdown closes its connections, not standby");
     lifecycle.set_standby(false);
     assert_eq!(observed_state(&lifecycle), ("leaving", true, false));
 }
--- a/tests/unit/state_store.rs
+++ b/tests/unit/state_store.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::unit_support::TempFolder;
 
-/// A state file as the program's versions up to dd85554 wrote it.
+/// A state file as written by versions of the program up to dd85554.
 const STATE_FILE: &str = r#"{"version":1,"orders":{"starts":3,"standby":true,"maintenance":["s-0a1aeea2","s-5be2a07c"],"returned":{"s-77":1764680000000000}}}"#;
 
 fn update(store: &StateStore, change: impl FnOnce(&mut AdminState)) -> Result<(), StateError> {
@@ -45,10 +45,10 @@
     update(&stores[0], |state| state.enter_maintenance("a".into())).unwrap();
     assert!(stores[1].refresh() && !stores[1].refresh());
     assert_eq!(stores[1].state(), stores[0].state());
-    assert!(!stores[0].refresh(), "its own");
+    assert!(!stores[0].refresh(), "its own write is not reported");
     fs::remove_file(folder.0.join("dunelink-n0.json")).unwrap();
     assert!(!stores[1].refresh());
-    assert!(stores[1].state().maintenance.contains("a"), "without a file the last state holds");
+    assert!(stores[1].state().maintenance.contains("a"), "the last state stays valid without a file");
 }
 
 #[test]
@@ -59,7 +59,7 @@
     lock.lock().unwrap();
     let error = update(&store, |state| state.standby = true).unwrap_err();
     let path = folder.0.join("dunelink-n0.lock");
-    let text = format!("{} was still locked by another process after 400 ms", path.display());
+    let text = format!("{} is locked by another process; gave up after 400 ms", path.display());
     assert_eq!(error.to_string(), text);
     drop(lock);
     fs::create_dir(folder.0.join("dunelink-n0.new")).unwrap();
@@ -81,9 +81,12 @@
     }
     let unknown_field = STATE_FILE.replace("\"standby\"", "\"more\":1,\"standby\"");
     assert!(matches!(decode_error(&unknown_field), StateError::Malformed(_)));
-    // Of another version nothing is known, nor need it be.
+    // The version is checked first: the state of another version need not match this one's fields.
     let other_version = decode_error(r#"{"version":2,"orders":[]}"#);
-    assert_eq!(other_version.to_string(), "the state file has version 2, supported is 1");
+    assert_eq!(
+        other_version.to_string(),
+        "the state file has format version 2, but only version 1 is supported"
+    );
 }
 
 #[test]
