--- a/src/node/state_store/mod.rs
+++ b/src/node/state_store/mod.rs
@@ -67,8 +67,8 @@
     /// Opens the state file of the node `name` in `folder`. If the file does not exist or cannot be read, the
     /// state is the default one.
     pub fn open(folder: &Path, name: &str) -> StateStore {
-        let file_name_char = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
-        let file_name: String = name.chars().map(file_name_char).collect();
+        let replace_special_char = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
+        let file_name: String = name.chars().map(replace_special_char).collect();
         let store = StateStore {
             path: folder.join(format!("{FILE_PREFIX}-{file_name}.json")),
             state: RefCell::default(),
