--- a/src/node/admin/service.rs
+++ b/src/node/admin/service.rs
@@ -81,8 +81,8 @@
         Ok(())
     }
 
-    /// Checks that the endpoint is known. An endpoint in maintenance is accepted even if discovery has named it
-    /// only to an earlier process.
+    /// Checks that the endpoint is known. An endpoint in maintenance is accepted even if discovery has named
+    /// it only to an earlier process.
     fn check_known(&self, uid: &str) -> Result<(), CommandError> {
         if self.store.state().maintenance.contains(uid) || self.engine.is_known(endpoint_id(uid)) {
             Ok(())
