--- a/src/node/admin/responses.rs
+++ b/src/node/admin/responses.rs
@@ -13,27 +13,27 @@
 /// A complete response.
 pub type AdminResponse = Response<Full<Bytes>>;
 
-/// How the node is.
+/// The status of the node.
 pub struct NodeStatus {
-    /// The phase's name.
+    /// Name of the phase.
     pub phase: &'static str,
-    /// Whether the node can serve requests, now or once before.
+    /// Whether the node can serve requests, or could at an earlier time.
     pub ready: bool,
     /// The uids of the endpoints in maintenance.
     pub maintenance: BTreeSet<String>,
 }
 
-/// A response that shows how the node is.
-pub fn show(status: StatusCode, node: &NodeStatus) -> AdminResponse {
+/// Builds a response with the status of the node.
+pub fn status_response(status: StatusCode, node: &NodeStatus) -> AdminResponse {
     let body = json!({"phase": node.phase, "able": node.ready, "maintenance": node.maintenance});
-    let mut response = respond(status, format!("{body}\n"));
+    let mut response = build_response(status, format!("{body}\n"));
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
-/// The response to a command that was not carried out.
-pub fn reject(error: &CommandError) -> AdminResponse {
-    let mut response = respond(status_of(error), format!("{error}\n"));
+/// Builds the response to a request that was not executed.
+pub fn error_response(error: &CommandError) -> AdminResponse {
+    let mut response = build_response(status_code(error), format!("{error}\n"));
     if let CommandError::WrongMethod { allowed } = error
         && let Ok(allowed) = HeaderValue::from_str(allowed.as_str())
     {
@@ -42,13 +42,13 @@
     response
 }
 
-fn respond(status: StatusCode, body: String) -> AdminResponse {
+fn build_response(status: StatusCode, body: String) -> AdminResponse {
     let mut response = Response::new(Full::from(body));
     *response.status_mut() = status;
     response
 }
 
-fn status_of(error: &CommandError) -> StatusCode {
+fn status_code(error: &CommandError) -> StatusCode {
     match error {
         CommandError::UnknownPath | CommandError::UnknownEndpoint => StatusCode::NOT_FOUND,
         CommandError::WrongMethod { .. } => StatusCode::METHOD_NOT_ALLOWED,
--- a/tests/node/admin.rs
+++ b/tests/node/admin.rs
@@ -13,12 +13,12 @@
 }
 
 #[test]
-fn invalid_calls_get_an_error_and_change_nothing() {
+fn rejects_invalid_requests_without_changing_state() {
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir());
     assert_eq!(node.admin_request("GET", "/status", "").status(), 200);
     let enter = "/maintenance/enter";
-    let large = format!("{{\"host\":\"a\",\"why\":\"{}\"}}", "x".repeat(100_000));
+    let oversized = format!("{{\"host\":\"a\",\"why\":\"{}\"}}", "x".repeat(100_000));
     let invalid = [
         ("GET", "/", "", 404),
         ("POST", "/maintenance", "", 404),
@@ -37,20 +37,20 @@
         ("POST", enter, "\"a\"", 400),
         ("POST", enter, "{\"host\":\"nobody\"}", 404),
         ("POST", "/maintenance/exit", "{\"host\":\"nobody\"}", 404),
-        ("POST", enter, &large, 413),
-        ("POST", "/standby", &large, 413),
+        ("POST", enter, &oversized, 413),
+        ("POST", "/standby", &oversized, 413),
     ];
     for (method, path, body, status) in invalid {
         assert_eq!(node.admin_request(method, path, body).status(), status, "{method} {path} {body:.60}");
     }
-    let mut half = node.admin_client();
-    half.send(b"POST /maintenance/enter HTTP/1.1\r\nHost: n\r\nContent-Length: 12\r\n\r\n{\"host\"");
-    half.stream.shutdown(std::net::Shutdown::Write).unwrap();
-    assert!(half.reaches_close(), "a truncated call is none");
+    let mut truncated = node.admin_client();
+    truncated.send(b"POST /maintenance/enter HTTP/1.1\r\nHost: n\r\nContent-Length: 12\r\n\r\n{\"host\"");
+    truncated.stream.shutdown(std::net::Shutdown::Write).unwrap();
+    assert!(truncated.reaches_close(), "the connection closes after a truncated request");
     assert_eq!(node.admin_status()["maintenance"], json!([]));
     assert_eq!(node.admin_status()["phase"], "serving");
     assert_eq!((node.health(), node.client().exchange(&view_request()).status()), (200, 200));
-    // One call for each connection.
+    // Each connection serves one request.
     let mut caller = node.admin_client();
     let response = caller.exchange(&admin_request("GET", "/status", ""));
     assert_eq!(response.header("connection"), Some("close"));
@@ -58,33 +58,35 @@
 }
 
 #[test]
-fn stalled_callers_and_busy_clients_do_not_delay_calls() {
+fn stalled_callers_and_busy_clients_do_not_delay_commands() {
     let upstream = UpstreamServer::new(|_, _| Reply::Never);
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 64, &state_dir());
     let mut clients: Vec<Connection> = (0..200).map(|_| node.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&request("GET", "/view/1", "9", "", "")));
     let mut stalled: Vec<Connection> = (0..100).map(|_| node.admin_client()).collect();
     stalled.iter_mut().skip(30).for_each(|caller| caller.send(b"POST /standby HTTP/1.1\r\nHo"));
-    let short = b"POST /standby HTTP/1.1\r\nHost: n\r\nContent-Length: 5\r\n\r\nha";
-    stalled.iter_mut().skip(60).for_each(|caller| caller.send(short));
+    let incomplete = b"POST /standby HTTP/1.1\r\nHost: n\r\nContent-Length: 5\r\n\r\nha";
+    stalled.iter_mut().skip(60).for_each(|caller| caller.send(incomplete));
     for _ in 0..5 {
         let started = Instant::now();
         assert_eq!(node.admin_request("GET", "/status", "").status(), 200);
-        // An idle machine takes a thousandth of this; the response is promised within a second.
+        // The admin API has to respond within 1 s. An idle machine takes a thousandth of the bound of 2 s.
         assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
     }
     assert!(node.open_descriptors() <= 64, "{} descriptors", node.open_descriptors());
-    assert!(stalled.iter_mut().all(Connection::reaches_close), "stalled callers are not waited for");
+    assert!(stalled.iter_mut().all(Connection::reaches_close), "connections of stalled callers are closed");
     assert_eq!(node.admin_status()["phase"], "serving");
 }
 
 #[test]
-fn an_invalid_state_file_is_ignored_and_replaced() {
+fn ignores_and_replaces_an_invalid_state_file() {
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
-    let other =
+    let other_version =
         json!({"version": 2, "orders": {"starts": 1, "standby": true, "maintenance": [], "returned": {}}});
-    let fields = json!({"version": 1, "orders": {"starts": 1, "standby": true}});
-    for text in ["", "{\"version\":1,", "\u{0}\u{1}", "[]", &other.to_string(), &fields.to_string()] {
+    let missing_fields = json!({"version": 1, "orders": {"starts": 1, "standby": true}});
+    for text in
+        ["", "{\"version\":1,", "\u{0}\u{1}", "[]", &other_version.to_string(), &missing_fields.to_string()]
+    {
         let state_dir = state_dir();
         fs::write(state_file(&state_dir), text).unwrap();
         let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir);
@@ -96,11 +98,11 @@
 }
 
 #[test]
-fn a_call_whose_state_cannot_be_stored_fails_and_changes_nothing() {
+fn a_command_whose_state_cannot_be_written_fails_and_changes_nothing() {
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
     let state_dir = state_dir();
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir);
-    wait_until("the start is stored", || state_file(&state_dir).exists());
+    wait_until("the process start is stored", || state_file(&state_dir).exists());
     fs::remove_dir_all(&state_dir).unwrap();
     assert_eq!(node.set_maintenance("enter", "a"), 500);
     assert_eq!(node.admin_request("POST", "/standby", "").status(), 500);
--- a/tests/node/maintenance.rs
+++ b/tests/node/maintenance.rs
@@ -1,4 +1,4 @@
-//! Endpoints in maintenance.
+//! Maintenance of endpoints.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
@@ -8,9 +8,9 @@
 use crate::support::*;
 
 #[test]
-fn an_endpoint_in_maintenance_gets_nothing_whatever_the_list_says() {
-    let turns = AtomicUsize::new(0);
-    let one = UpstreamServer::new(move |_, _| match turns.fetch_add(1, Ordering::SeqCst) {
+fn an_endpoint_in_maintenance_gets_no_requests_whatever_discovery_reports() {
+    let request_number = AtomicUsize::new(0);
+    let one = UpstreamServer::new(move |_, _| match request_number.fetch_add(1, Ordering::SeqCst) {
         1 => Reply::SendDelayed(Vec::new(), Duration::from_millis(1500), response(200, "", "late")),
         _ => ok("one"),
     });
@@ -28,34 +28,37 @@
     assert_eq!((node.set_maintenance("enter", "a"), node.set_maintenance("enter", "a")), (200, 200));
     assert_eq!(node.admin_status()["maintenance"], json!(["a"]));
     assert_eq!(node.client().exchange(&view_request()).status(), 503, "no other endpoint is ready");
-    assert_eq!(waiting.receive().body, b"late", "it finishes what it has");
-    let mut started = ready_endpoint("a", &one);
-    started["boot_ms"] = 1.into();
+    assert_eq!(waiting.receive().body, b"late", "an endpoint in maintenance completes its active requests");
+    let mut restarted = ready_endpoint("a", &one);
+    restarted["boot_ms"] = 1.into();
     let mut rev = 50;
     for entry in [
         endpoint_entry("a", one.address, 1, "draining"),
         endpoint_entry("a", one.address, 1, "gone"),
-        started,
+        restarted,
     ] {
         rev += 1;
         watch.send_delta(rev, &[entry, ready_endpoint("b", &two)]);
-        wait_until("the list applies", || node.client().exchange(&view_request()).body == b"two");
+        wait_until("the endpoint list is applied", || node.client().exchange(&view_request()).body == b"two");
         (0..20).for_each(|_| assert_eq!(node.client().exchange(&view_request()).body, b"two"));
     }
     rev += 1;
     watch.send_line(&json!({"rev": rev, "all": true, "targets": [ready_endpoint("a", &one)]}).to_string());
-    wait_until("the list applies", || node.client().exchange(&view_request()).status() == 503);
+    wait_until("the endpoint list is applied", || node.client().exchange(&view_request()).status() == 503);
     assert_eq!(one.request_count(), 2);
     assert_eq!((node.set_maintenance("exit", "a"), node.set_maintenance("exit", "a")), (200, 200));
     assert_eq!(node.client().exchange(&view_request()).body, b"one");
     let connections: Vec<usize> = (0..3).map(|_| one.next_request().0).collect();
-    assert!(!connections[..2].contains(&connections[2]), "on a new connection: {connections:?}");
-    // Discovery has removed `b`, but the admin API still knows it.
+    assert!(
+        !connections[..2].contains(&connections[2]),
+        "requests after maintenance use a new connection: {connections:?}"
+    );
+    // Discovery no longer lists `b`, but the admin API still knows it.
     assert_eq!((node.set_maintenance("enter", "b"), node.set_maintenance("exit", "b")), (200, 200));
 }
 
 #[test]
-fn an_endpoint_after_maintenance_is_used_again_on_an_idle_node() {
+fn an_idle_node_uses_an_endpoint_again_after_maintenance() {
     let upstreams: Vec<UpstreamServer> = (0..4).map(|_| UpstreamServer::new(|_, _| ok("slip"))).collect();
     let names = ["a", "b", "c", "d"];
     let list: Vec<Value> = names.iter().zip(&upstreams).map(|(uid, s)| ready_endpoint(uid, s)).collect();
@@ -82,8 +85,8 @@
     busy.send(&order_request());
     assert_eq!(upstream.next_request().0, 0);
     assert_eq!((node.set_maintenance("enter", "a"), node.set_maintenance("exit", "a")), (200, 200));
-    assert_eq!(busy.receive().body, b"slip", "it is answered after maintenance");
+    assert_eq!(busy.receive().body, b"slip", "the active request completes after maintenance");
     assert_eq!(upstream.next_closed_connection(), 0);
-    wait_until("it is used again", || node.client().exchange(&view_request()).status() == 200);
+    wait_until("the endpoint is used again", || node.client().exchange(&view_request()).status() == 200);
     assert_eq!(upstream.next_request().0, 1);
 }
