--- a/src/settings_format.rs
+++ b/src/settings_format.rs
@@ -40,115 +40,115 @@
         expected: String,
     },
     /// A list announces more objects than there are lines, so some have none.
-    #[error("setting {list}.count is {count}, but there are only {lines} settings")]
+    #[error("setting {list}.count is {count}, but there are only {settings} settings")]
     TooManyObjects {
         /// The list's path.
         list: &'static str,
         /// How many objects it announces.
         count: usize,
         /// How many lines the text has.
-        lines: usize,
+        settings: usize,
     },
 }
 
 /// Reads a node's settings. Whether they make sense together is for [`Settings::check`] to say.
 pub fn parse_settings(text: &[u8]) -> Result<Settings, SettingsFormatError> {
     let text = std::str::from_utf8(text).map_err(SettingsFormatError::NotUtf8)?;
-    let lines = Lines::new(text);
+    let raw = RawSettings::new(text);
     let default = Settings::default();
     Ok(Settings {
-        node_count: lines.value("balancers", default.node_count)?,
-        node_index: lines.value("rank", default.node_index)?,
-        classes: lines.objects("services", request_class)?,
-        tenants: lines.objects("parties", tenant)?,
-        over_quota_weight: lines.value("over_share_worth", default.over_quota_weight)?,
-        max_attempts: lines.value("allowed.max_attempts", default.max_attempts)?,
-        cancellation: lines.flag("allowed.cancelling", default.cancellation)?,
-        hedging: lines.flag("allowed.second_copies", default.hedging)?,
-        key_affinity: lines.flag("domain.warm_keys", default.key_affinity)?,
-        load_dependent_weights: lines.text("weights") == Some(LOAD_DEPENDENT_WEIGHTS),
-        discovery: discovery_mode(&lines)?,
-        slow_start_from: lines.value("obligations.cold_from", default.slow_start_from)?,
-        slow_start_window: lines.duration("obligations.warm_up_us", default.slow_start_window)?,
-        overload_multiple: lines.value("obligations.fall_multiple", default.overload_multiple)?,
-        clock_granularity: lines.duration("step_us", default.clock_granularity)?,
-        max_retry_after: max_retry_after(&lines, default.max_retry_after)?,
+        node_count: raw.value("balancers", default.node_count)?,
+        node_index: raw.value("rank", default.node_index)?,
+        classes: raw.objects("services", request_class)?,
+        tenants: raw.objects("parties", tenant)?,
+        over_quota_weight: raw.value("over_share_worth", default.over_quota_weight)?,
+        max_attempts: raw.value("allowed.max_attempts", default.max_attempts)?,
+        cancellation: raw.flag("allowed.cancelling", default.cancellation)?,
+        hedging: raw.flag("allowed.second_copies", default.hedging)?,
+        key_affinity: raw.flag("domain.warm_keys", default.key_affinity)?,
+        load_dependent_weights: raw.text("weights") == Some(LOAD_DEPENDENT_WEIGHTS),
+        discovery: discovery_mode(&raw)?,
+        slow_start_from: raw.value("obligations.cold_from", default.slow_start_from)?,
+        slow_start_window: raw.duration("obligations.warm_up_us", default.slow_start_window)?,
+        overload_multiple: raw.value("obligations.fall_multiple", default.overload_multiple)?,
+        clock_granularity: raw.duration("step_us", default.clock_granularity)?,
+        max_retry_after: max_retry_after(&raw, default.max_retry_after)?,
     })
 }
 
 /// The class of requests at `path`.
-fn request_class(lines: &Lines<'_>, path: &str) -> Result<RequestClass, SettingsFormatError> {
+fn request_class(raw: &RawSettings<'_>, path: &str) -> Result<RequestClass, SettingsFormatError> {
     let key = |name: &str| format!("{path}.{name}");
-    let scope = idempotency_scope(lines, &key("dedup_scope"))?;
-    let idempotency = idempotency(lines, path, scope)?;
-    let deadline = lines.duration(&key("deadline_us"), DEFAULT_DEADLINE)?;
+    let scope = idempotency_scope(raw, &key("dedup_scope"))?;
+    let idempotency = idempotency(raw, path, scope)?;
+    let deadline = raw.duration(&key("deadline_us"), DEFAULT_DEADLINE)?;
     Ok(RequestClass {
-        latency_objective: lines.duration(&key("goal_time_us"), deadline)?,
-        objective_per_work: lines.value(&key("aim_stretch"), 0.0)?,
+        latency_objective: raw.duration(&key("goal_time_us"), deadline)?,
+        objective_per_work: raw.value(&key("aim_stretch"), 0.0)?,
         deadline,
-        priority_weight: lines.value(&key("points"), DEFAULT_PRIORITY_WEIGHT)?,
-        late_weight: lines.value(&key("late_value"), 0.0)?,
+        priority_weight: raw.value(&key("points"), DEFAULT_PRIORITY_WEIGHT)?,
+        late_weight: raw.value(&key("late_value"), 0.0)?,
         idempotency,
     })
 }
 
 /// Which endpoints share the keys that they have seen.
-fn idempotency_scope(lines: &Lines<'_>, path: &str) -> Result<IdempotencyScope, SettingsFormatError> {
-    match lines.text(path) {
+fn idempotency_scope(raw: &RawSettings<'_>, path: &str) -> Result<IdempotencyScope, SettingsFormatError> {
+    match raw.text(path) {
         None | Some("all") => Ok(IdempotencyScope::All),
         Some("zone") => Ok(IdempotencyScope::Zone),
         Some("cell") => Ok(IdempotencyScope::Cell),
-        Some(other) => Err(invalid(path, other, "all, zone or cell")),
+        Some(other) => Err(invalid_value(path, other, "all, zone or cell")),
     }
 }
 
 /// Whether requests of the class at `path` may execute more than once.
 fn idempotency(
-    lines: &Lines<'_>,
+    raw: &RawSettings<'_>,
     path: &str,
     scope: IdempotencyScope,
 ) -> Result<Idempotency, SettingsFormatError> {
     let idempotency_path = format!("{path}.idempotency");
-    match lines.text(&idempotency_path) {
+    match raw.text(&idempotency_path) {
         None | Some("side_effect") => Ok(Idempotency::NonIdempotent),
         Some("pure") => Ok(Idempotency::Idempotent),
         Some("token") => {
-            let window = lines.duration(&format!("{path}.window_us"), Duration::ZERO)?;
+            let window = raw.duration(&format!("{path}.window_us"), Duration::ZERO)?;
             Ok(Idempotency::IdempotentWithKey { scope, window })
         }
-        Some(other) => Err(invalid(&idempotency_path, other, "pure, token or side_effect")),
+        Some(other) => Err(invalid_value(&idempotency_path, other, "pure, token or side_effect")),
     }
 }
 
 /// The tenant at `path`.
-fn tenant(lines: &Lines<'_>, path: &str) -> Result<Tenant, SettingsFormatError> {
+fn tenant(raw: &RawSettings<'_>, path: &str) -> Result<Tenant, SettingsFormatError> {
     Ok(Tenant {
-        quota_per_second: lines.value(&format!("{path}.quota_rps"), 0.0)?,
-        service_share: lines.value(&format!("{path}.share"), 0.0)?,
+        quota_per_second: raw.value(&format!("{path}.quota_rps"), 0.0)?,
+        service_share: raw.value(&format!("{path}.share"), 0.0)?,
     })
 }
 
 /// How the endpoint list reaches the node.
-fn discovery_mode(lines: &Lines<'_>) -> Result<DiscoveryMode, SettingsFormatError> {
-    match lines.text("discovery") {
+fn discovery_mode(raw: &RawSettings<'_>) -> Result<DiscoveryMode, SettingsFormatError> {
+    match raw.text("discovery") {
         None | Some("automatic") => Ok(DiscoveryMode::Push),
         Some("subscribe") => {
-            let interval = lines.duration("obligations.ask_every_us", DEFAULT_POLL_INTERVAL)?;
+            let interval = raw.duration("obligations.ask_every_us", DEFAULT_POLL_INTERVAL)?;
             Ok(DiscoveryMode::Poll { interval })
         }
-        Some(other) => Err(invalid("discovery", other, "automatic or subscribe")),
+        Some(other) => Err(invalid_value("discovery", other, "automatic or subscribe")),
     }
 }
 
 /// The longest retry delay that clients honour; zero where they are given none.
-fn max_retry_after(lines: &Lines<'_>, default: Duration) -> Result<Duration, SettingsFormatError> {
-    match lines.flag("allowed.retry_after", false)? {
-        true => lines.duration("allowed.max_retry_after_us", default),
+fn max_retry_after(raw: &RawSettings<'_>, default: Duration) -> Result<Duration, SettingsFormatError> {
+    match raw.flag("allowed.retry_after", false)? {
+        true => raw.duration("allowed.max_retry_after_us", default),
         false => Ok(Duration::ZERO),
     }
 }
 
-fn invalid(path: &str, value: &str, expected: &str) -> SettingsFormatError {
+fn invalid_value(path: &str, value: &str, expected: &str) -> SettingsFormatError {
     SettingsFormatError::InvalidValue { path: path.into(), value: value.into(), expected: expected.into() }
 }
 
@@ -179,11 +179,11 @@
 }
 
 /// The pairs of a text; of two with the same path, the later one counts.
-struct Lines<'a>(BTreeMap<&'a str, &'a str>);
+struct RawSettings<'a>(BTreeMap<&'a str, &'a str>);
 
-impl<'a> Lines<'a> {
-    fn new(text: &'a str) -> Lines<'a> {
-        Lines(text.lines().filter_map(|line| line.split_once('=')).collect())
+impl<'a> RawSettings<'a> {
+    fn new(text: &'a str) -> RawSettings<'a> {
+        RawSettings(text.lines().filter_map(|line| line.split_once('=')).collect())
     }
 
     fn text(&self, path: &str) -> Option<&'a str> {
@@ -194,7 +194,7 @@
         let Some(text) = self.text(path) else {
             return Ok(default);
         };
-        text.parse().map_err(|_| invalid(path, text, T::EXPECTED))
+        text.parse().map_err(|_| invalid_value(path, text, T::EXPECTED))
     }
 
     /// A boolean, which may also be written as a number.
@@ -218,14 +218,14 @@
     fn objects<T>(
         &self,
         list: &'static str,
-        parse: impl Fn(&Lines<'a>, &str) -> Result<T, SettingsFormatError>,
+        parse: impl Fn(&RawSettings<'a>, &str) -> Result<T, SettingsFormatError>,
     ) -> Result<Vec<T>, SettingsFormatError> {
         let count = self.value(&format!("{list}.count"), 0)?;
-        let lines = self.0.len();
+        let settings = self.0.len();
         // Each object has at least one line of its own: no count makes the node allocate more than it was
         // sent.
-        if count > lines {
-            return Err(SettingsFormatError::TooManyObjects { list, count, lines });
+        if count > settings {
+            return Err(SettingsFormatError::TooManyObjects { list, count, settings });
         }
         (0..count).map(|index| parse(self, &format!("{list}.{index}"))).collect()
     }
--- a/tests/layout.rs
+++ b/tests/layout.rs
@@ -27,7 +27,7 @@
 }
 
 /// The text of a file without its comments, in which modules may be named freely.
-fn code(path: &Path) -> String {
+fn code_without_comments(path: &Path) -> String {
     let text = fs::read_to_string(path).unwrap();
     text.lines().map(|line| line.split("//").next().unwrap_or_default()).collect::<Vec<_>>().join("\n")
 }
@@ -61,7 +61,7 @@
 }
 
 /// What the code names directly behind `prefix`, such as `crate::`.
-fn names_behind<'a>(code: &'a str, prefix: &str) -> Vec<&'a str> {
+fn names_after<'a>(code: &'a str, prefix: &str) -> Vec<&'a str> {
     let mut names = Vec::new();
     for (at, _) in code.match_indices(prefix) {
         let rest = &code[at + prefix.len()..];
@@ -90,8 +90,8 @@
         if roots.contains(&module.as_str()) {
             continue;
         }
-        let code = code(file);
-        let named = names_behind(&code, prefix).into_iter().map(str::to_string);
+        let code = code_without_comments(file);
+        let named = names_after(&code, prefix).into_iter().map(str::to_string);
         let others = named.filter(|name| modules.contains(name) && *name != module);
         imports.entry(module.clone()).or_default().extend(others);
     }
@@ -99,7 +99,7 @@
 }
 
 /// Takes away, again and again, what imports nothing that is left; what stays is part of a circle or needs one.
-fn circle(mut imports: Imports) -> Imports {
+fn remove_acyclic(mut imports: Imports) -> Imports {
     loop {
         let leaves: Vec<String> = imports
             .iter()
@@ -119,21 +119,21 @@
 }
 
 #[test]
-fn modules_of_the_node_import_each_other_in_one_direction() {
+fn node_modules_have_no_import_cycles() {
     let imports = imports("src/node", "crate::", &["main"]);
     assert!(imports.len() > 8, "{imports:?}");
-    assert_eq!(circle(imports), Imports::new());
+    assert_eq!(remove_acyclic(imports), Imports::new());
 }
 
 #[test]
-fn modules_of_the_balancer_import_each_other_in_one_direction() {
+fn balancer_modules_have_no_import_cycles() {
     let imports = imports("src/balancer", "super::", &["mod"]);
     assert!(imports.len() > 4, "{imports:?}");
-    assert_eq!(circle(imports), Imports::new());
+    assert_eq!(remove_acyclic(imports), Imports::new());
 }
 
 #[test]
-fn source_files_and_their_lines_are_short_enough_to_read() {
+fn source_files_and_lines_stay_within_their_limits() {
     let sources = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     for file in source_files(&sources) {
         let text = fs::read_to_string(&file).unwrap();
--- a/tests/node/client_disconnects.rs
+++ b/tests/node/client_disconnects.rs
@@ -75,7 +75,7 @@
     let a = listener();
     let node = Node::start(&[listening_endpoint("a", &a, "ready")]);
     Watch::accept(&node.discovery).keep_alive();
-    let mut pending = occupy(&node, slice::from_ref(&a), INITIAL_CONCURRENCY_LIMIT);
+    let mut pending = start_pending_requests(&node, slice::from_ref(&a), INITIAL_CONCURRENCY_LIMIT);
     let before = node.open_descriptors();
     for how in ALL_DISCONNECTS {
         for (what, bytes) in trailing_bytes() {
@@ -84,13 +84,13 @@
             client.send(&bytes);
             wait_for_descriptors(&node, before + 1);
             disconnect(client, how);
-            wait_until_released(&node, before, &format!("{what}, {how:?}"));
+            wait_until_descriptors_closed(&node, before, &format!("{what}, {how:?}"));
         }
         let mut client = node.client();
         client.send(&partial_upload("9b1f03bb00000001"));
         wait_for_descriptors(&node, before + 1);
         disconnect(client, how);
-        wait_until_released(&node, before, &format!("half a body, {how:?}"));
+        wait_until_descriptors_closed(&node, before, &format!("half a body, {how:?}"));
     }
     // With capacity again, the next request is the next one sent, and on these connections.
     pending.iter_mut().for_each(|exchange| exchange.complete("", "slip"));
@@ -113,7 +113,7 @@
         let a = listener();
         let node = Node::start(&[listening_endpoint("a", &a, "ready")]);
         Watch::accept(&node.discovery).keep_alive();
-        let mut pending = occupy(&node, slice::from_ref(&a), INITIAL_CONCURRENCY_LIMIT);
+        let mut pending = start_pending_requests(&node, slice::from_ref(&a), INITIAL_CONCURRENCY_LIMIT);
         let before = node.open_descriptors();
         let mut client = node.client();
         client.send(&complete_upload(chunked));
@@ -136,7 +136,7 @@
         connection.send(&response(200, "Connection: close\r\n", "last"));
         assert_eq!(last.receive().body, b"last");
         drop((pending, last));
-        wait_until_released(&node, before - 4, "the client of the body");
+        wait_until_descriptors_closed(&node, before - 4, "the client of the body");
     }
 }
 
@@ -160,7 +160,7 @@
         while client.stream.write_all(&chunk).is_ok() {}
         let mut connection = Connection::from_stream(accept_connection(&a));
         disconnect(client, Disconnect::Reset);
-        wait_until_released(&node, before, "the client that disconnected");
+        wait_until_descriptors_closed(&node, before, "the client that disconnected");
         assert!(connection.try_receive().is_none(), "cancelling {cancelling}: it arrived completely");
     }
 }
@@ -184,7 +184,11 @@
                 // The client's connection and the one that is not established.
                 wait_for_descriptors(&node, before + 2);
                 disconnect(client, how);
-                wait_until_released(&node, before, &format!("{what}, {how:?}, cancelling {cancelling}"));
+                wait_until_descriptors_closed(
+                    &node,
+                    before,
+                    &format!("{what}, {how:?}, cancelling {cancelling}"),
+                );
             }
         }
         for _ in &backlog {
@@ -216,7 +220,7 @@
                     config["settings"]["allowed"]["connect_timeout_us"] = 10_000_000.into();
                 });
                 Watch::accept(&node.discovery).keep_alive();
-                let mut pending = occupy(&node, &listeners, 2);
+                let mut pending = start_pending_requests(&node, &listeners, 2);
                 let before = node.open_descriptors();
                 let mut client = node.client();
                 if exhausted {
@@ -229,7 +233,11 @@
                 // By now it has been read, and waits.
                 pause_before_reuse();
                 disconnect(client, how);
-                wait_until_released(&node, before, &format!("{what}, {how:?}, exhausted {exhausted}"));
+                wait_until_descriptors_closed(
+                    &node,
+                    before,
+                    &format!("{what}, {how:?}, exhausted {exhausted}"),
+                );
                 let mut first = pending.remove(0);
                 first.complete("Connection: close\r\n", "slip");
                 drop(first);
@@ -268,12 +276,12 @@
             at_a.send(&response(503, "Srv-Declined: 1\r\nConnection: close\r\n", ""));
             assert!(at_a.reaches_close());
             drop(at_a);
-            wait_until_released(&node, before - 1, "a connection that was closed");
+            wait_until_descriptors_closed(&node, before - 1, "a connection that was closed");
             let at = clients.iter().position(|(id, _)| rejected.header("req-id") == Some(id)).unwrap();
             let (_, mut client) = clients.remove(at);
             client.send(&bytes);
             disconnect(client, how);
-            wait_until_released(&node, before - 2, &format!("{what}, {how:?}"));
+            wait_until_descriptors_closed(&node, before - 2, &format!("{what}, {how:?}"));
             at_b.send(&response(200, "", "slip"));
             let at = clients.iter().position(|(id, _)| answered.header("req-id") == Some(id)).unwrap();
             assert_eq!(clients[at].1.receive().body, b"slip");
@@ -311,7 +319,7 @@
         crowd.iter_mut().for_each(|client| client.send(&view_request()));
         wait_for_descriptors(&node, 47);
         crowd.into_iter().for_each(|client| disconnect(client, how));
-        wait_until_released(&node, 24, &format!("{how:?}"));
+        wait_until_descriptors_closed(&node, 24, &format!("{how:?}"));
         assert_eq!(node.health(), 200);
     }
 }
--- a/tests/node/configuration.rs
+++ b/tests/node/configuration.rs
@@ -39,6 +39,6 @@
         spawn_with_config("{}"),
         spawn_with_config("{\"name\": 3}"),
     ] {
-        failed_start(child);
+        expect_startup_error(child);
     }
 }
--- a/tests/node/configuration_errors.rs
+++ b/tests/node/configuration_errors.rs
@@ -20,7 +20,7 @@
     if let Some(address) = admin {
         command.env("GW_OPERATOR", address);
     }
-    let line = failed_start(command.spawn().unwrap());
+    let line = expect_startup_error(command.spawn().unwrap());
     line.strip_prefix(&format!("{path}: ")).unwrap_or(&line).to_string()
 }
 
--- a/tests/node/connection_setup.rs
+++ b/tests/node/connection_setup.rs
@@ -125,7 +125,7 @@
     for (sockets, exhausted) in [(1024, true), (36, false)] {
         let node = Node::with_sockets(&endpoints, sockets);
         Watch::accept(&node.discovery).keep_alive();
-        let mut pending = occupy(&node, &listeners, 2);
+        let mut pending = start_pending_requests(&node, &listeners, 2);
         let mut waiting = node.client();
         if exhausted {
             assert_eq!(waiting.exchange(HEALTH_REQUEST).status(), 200);
--- a/tests/node/hot_restart.rs
+++ b/tests/node/hot_restart.rs
@@ -151,7 +151,7 @@
     for mut command in invalid {
         let child =
             command.env("GW_CONFIG", write_config(&config)).env("TMPDIR", &state_dir).spawn().unwrap();
-        let line = failed_start(child);
+        let line = expect_startup_error(child);
         assert!(line.starts_with("GW_PASSED_SOCKET"), "{line}");
     }
     assert_eq!((old.health(), old.client().exchange(&view_request()).status()), (200, 200));
--- a/tests/node/startup.rs
+++ b/tests/node/startup.rs
@@ -18,15 +18,15 @@
         config.to_string()
     };
     for field in ["listen", "operator"] {
-        let line = failed_start(spawn_with_config(&config(field, address.clone().into())));
+        let line = expect_startup_error(spawn_with_config(&config(field, address.clone().into())));
         assert_eq!(line, format!("{field} {address}: Address already in use (os error 98)"));
     }
     let path = write_config(&config("seed", 3.into()));
-    let line = failed_start(node_command().env("GW_CONFIG", &path).spawn().unwrap());
+    let line = expect_startup_error(node_command().env("GW_CONFIG", &path).spawn().unwrap());
     assert!(line.starts_with(&format!("{path}: ")), "{line}");
-    let line = failed_start(node_command().env("GW_CONFIG", "/nowhere/config.json").spawn().unwrap());
+    let line = expect_startup_error(node_command().env("GW_CONFIG", "/nowhere/config.json").spawn().unwrap());
     let cause = "No such file or directory (os error 2)";
     assert!(line.starts_with("/nowhere/config.json: ") && line.ends_with(cause), "{line}");
-    let line = failed_start(node_command().env_remove("GW_CONFIG").spawn().unwrap());
+    let line = expect_startup_error(node_command().env_remove("GW_CONFIG").spawn().unwrap());
     assert_eq!(line, "GW_CONFIG does not name a configuration file");
 }
--- a/tests/simulator/settings.rs
+++ b/tests/simulator/settings.rs
@@ -6,7 +6,7 @@
 use mothspool::*;
 
 #[test]
-fn settings_may_be_known_unknown_or_absent() {
+fn reads_known_settings_skips_unknown_ones_and_defaults_absent_ones() {
     let text = "balancers=2\nrank=1\nnew.key=1\nservices.count=1\nservices.0.idempotency=token\n\
                 services.0.dedup_scope=cell\nservices.0.window_us=4000000\nparties.count=1\n\
                 parties.0.quota_rps=52.0\ndiscovery=subscribe\nobligations.ask_every_us=10000000\n";
@@ -58,6 +58,6 @@
     }
     let not_utf8 = parse_settings(b"rank=\xff").unwrap_err();
     assert!(matches!(not_utf8, SettingsFormatError::NotUtf8(_)), "{not_utf8}");
-    let too_many = SettingsFormatError::TooManyObjects { list: "parties", count: 2, lines: 1 };
+    let too_many = SettingsFormatError::TooManyObjects { list: "parties", count: 2, settings: 1 };
     assert_eq!(parse_settings(b"parties.count=2").unwrap_err(), too_many);
 }
--- a/tests/support/command.rs
+++ b/tests/support/command.rs
@@ -31,11 +31,11 @@
 
 /// The program with a listening socket as descriptor 5.
 pub fn command_with_inherited_socket(socket: &impl AsFd) -> Command {
-    inheriting_command(env!("CARGO_BIN_EXE_mothspool").as_ref(), socket)
+    program_with_inherited_socket(env!("CARGO_BIN_EXE_mothspool").as_ref(), socket)
 }
 
 /// This program, which may be another version's, with a listening socket as descriptor 5.
-pub fn inheriting_command(program: &Path, socket: &impl AsFd) -> Command {
+pub fn program_with_inherited_socket(program: &Path, socket: &impl AsFd) -> Command {
     let mut shell = Command::new("sh");
     shell.args(["-c", "exec \"$0\" 5<&0 0</dev/null"]).arg(program);
     shell.stdin(socket.as_fd().try_clone_to_owned().unwrap());
@@ -44,7 +44,7 @@
 }
 
 /// What a process that can't start logs: one line, here without the program's name. Its exit status is 1.
-pub fn failed_start(mut child: Child) -> String {
+pub fn expect_startup_error(mut child: Child) -> String {
     let mut log = String::new();
     child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
     assert_eq!(child.wait().unwrap().code(), Some(1), "{log}");
--- a/tests/support/connections.rs
+++ b/tests/support/connections.rs
@@ -40,7 +40,7 @@
 
 /// Waits until the node has no more descriptors open than this: far longer than that may take, and far shorter than
 /// any deadline.
-pub fn wait_until_released(node: &Node, descriptors: usize, what: &str) {
+pub fn wait_until_descriptors_closed(node: &Node, descriptors: usize, what: &str) {
     let started = Instant::now();
     while node.open_descriptors() > descriptors {
         assert!(started.elapsed() < Duration::from_secs(3), "{what}: the disconnect was not noticed");
@@ -78,7 +78,7 @@
 }
 
 /// Has so many endpoints' slots taken by non-idempotent requests, each from a client of its own.
-pub fn occupy(node: &Node, listeners: &[TcpListener], slots: usize) -> Vec<PendingExchange> {
+pub fn start_pending_requests(node: &Node, listeners: &[TcpListener], slots: usize) -> Vec<PendingExchange> {
     (0..slots)
         .map(|_| {
             let mut client = node.client();
--- a/tests/support/node.rs
+++ b/tests/support/node.rs
@@ -139,7 +139,7 @@
         state_dir: &Path,
         sockets: usize,
     ) -> Node {
-        let launch = Launch::with_admin(inheriting_command(program, listener), state_dir, sockets);
+        let launch = Launch::with_admin(program_with_inherited_socket(program, listener), state_dir, sockets);
         let mut node = launch.start(endpoints, |_| {});
         node.address = listener.local_addr().unwrap();
         node
--- a/tests/unit/hot_restart.rs
+++ b/tests/unit/hot_restart.rs
@@ -1,7 +1,7 @@
 use std::cell::Cell;
 
 use super::*;
-use crate::unit_support::{TempFolder, upstream};
+use crate::unit_support::{TempFolder, upstream_pool};
 
 /// Connections that the test sets a number for.
 #[derive(Default)]
@@ -26,7 +26,7 @@
 fn processes<const N: usize>(folder: &TempFolder) -> [HotRestart<Connections>; N] {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let register = |()| {
-        let lifecycle = Rc::new(Lifecycle::new(upstream()));
+        let lifecycle = Rc::new(Lifecycle::new(upstream_pool()));
         let store = Rc::new(StateStore::open(&folder.0, "n0"));
         runtime.block_on(HotRestart::register(store, lifecycle, Rc::default()))
     };
--- a/tests/unit/lifecycle.rs
+++ b/tests/unit/lifecycle.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::unit_support::upstream;
+use crate::unit_support::upstream_pool;
 
 /// A process that has become ready.
 fn ready() -> Lifecycle {
-    let lifecycle = Lifecycle::new(upstream());
+    let lifecycle = Lifecycle::new(upstream_pool());
     lifecycle.readiness.set(Readiness::Ready);
     lifecycle
 }
@@ -59,7 +59,7 @@
 
 #[test]
 fn readiness_waits_for_descriptors_and_then_for_an_endpoint() {
-    let lifecycle = Lifecycle::new(upstream());
+    let lifecycle = Lifecycle::new(upstream_pool());
     assert!(!lifecycle.is_ready() && !lifecycle.welcomes_clients());
     lifecycle.await_descriptors();
     assert!(lifecycle.readiness.get() == Readiness::AwaitingDescriptors && !lifecycle.is_ready());
--- a/tests/unit/state_store.rs
+++ b/tests/unit/state_store.rs
@@ -26,14 +26,14 @@
     assert_eq!(folder.read("dunelink-n0.json"), FILE.replace("\"starts\":3", "\"starts\":4"));
     store.release_descriptors(5);
     assert_eq!(folder.read("dunelink-n0.given-way"), "5");
-    assert_eq!(folder.names(), ["dunelink-n0.given-way", "dunelink-n0.json", "dunelink-n0.lock"]);
+    assert_eq!(folder.file_names(), ["dunelink-n0.given-way", "dunelink-n0.json", "dunelink-n0.lock"]);
 }
 
 #[test]
 fn the_file_is_named_after_the_node() {
     let folder = TempFolder::new();
     update(&StateStore::open(&folder.0, "n-0/../x y"), |_| {}).unwrap();
-    assert_eq!(folder.names(), ["dunelink-n-0____x_y.json", "dunelink-n-0____x_y.lock"]);
+    assert_eq!(folder.file_names(), ["dunelink-n-0____x_y.json", "dunelink-n-0____x_y.lock"]);
     let empty = r#"{"version":1,"orders":{"starts":0,"standby":false,"maintenance":[],"returned":{}}}"#;
     assert_eq!(folder.read("dunelink-n-0____x_y.json"), empty);
 }
--- a/tests/unit/support.rs
+++ b/tests/unit/support.rs
@@ -22,7 +22,7 @@
     }
 
     /// The names of the files in it, sorted.
-    pub fn names(&self) -> Vec<String> {
+    pub fn file_names(&self) -> Vec<String> {
         let entries = fs::read_dir(&self.0).unwrap();
         let mut names: Vec<String> =
             entries.map(|entry| entry.unwrap().file_name().into_string().unwrap()).collect();
@@ -54,7 +54,7 @@
 }
 
 /// A connection pool without endpoints.
-pub fn upstream() -> Rc<UpstreamPool> {
+pub fn upstream_pool() -> Rc<UpstreamPool> {
     let config = config();
     Rc::new(UpstreamPool::new(&config, BufferBudget::new(config.limits.memory)))
 }
