--- a/tests/unit/lifecycle.rs
+++ b/tests/unit/lifecycle.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::unit_support::upstream;
+use crate::unit_support::upstream_pool;
 
 /// Returns the life cycle of a process that is ready.
 fn ready_lifecycle() -> Lifecycle {
-    let lifecycle = Lifecycle::new(upstream());
+    let lifecycle = Lifecycle::new(upstream_pool());
     lifecycle.readiness.set(Readiness::Ready);
     lifecycle
 }
@@ -59,7 +59,7 @@
 
 #[test]
 fn readiness_waits_for_descriptors_and_then_for_an_endpoint() {
-    let lifecycle = Lifecycle::new(upstream());
+    let lifecycle = Lifecycle::new(upstream_pool());
     assert!(!lifecycle.is_ready() && !lifecycle.passes_health_check());
     lifecycle.require_descriptors();
     assert!(lifecycle.readiness.get() == Readiness::AwaitingDescriptors && !lifecycle.is_ready());
