--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -6,7 +6,7 @@
 use super::requests::QueuedRequest;
 
 /// The least burst of a tenant at a node: few nodes see its requests evenly.
-const MIN_BURST: f64 = 4.0;
+const MIN_BURST_TOKENS: f64 = 4.0;
 
 /// A node's part of a tenant's quota, as a token bucket; it holds what is refilled in a second.
 struct TokenBucket {
@@ -19,12 +19,12 @@
 impl TokenBucket {
     fn new(tenant: &Tenant, node_count: u32) -> TokenBucket {
         let rate_per_second = tenant.quota_per_second / f64::from(node_count);
-        let burst = rate_per_second.max(MIN_BURST);
+        let burst = rate_per_second.max(MIN_BURST_TOKENS);
         TokenBucket { rate_per_second, burst, tokens: burst, refilled_at: Timestamp::default() }
     }
 
     /// Takes a token, and returns whether there was one.
-    fn take(&mut self, now: Timestamp) -> bool {
+    fn try_take(&mut self, now: Timestamp) -> bool {
         let refill = self.rate_per_second * now.micros_since(self.refilled_at) / 1e6;
         self.tokens = (self.tokens + refill).min(self.burst);
         self.refilled_at = now;
@@ -35,12 +35,12 @@
 }
 
 /// How far one response of the class with the lowest baseline moves the mean wait.
-const WAIT_STEP: f64 = 0.2;
+const MEAN_WAIT_STEP: f64 = 0.2;
 /// How far one response moves the typical latency.
-const TYPICAL_STEP: f64 = 0.05;
+const TYPICAL_BASELINE_STEP: f64 = 0.05;
 /// The longest wait that counts, as a multiple of its class's slack: a few very slow endpoints must not look
 /// like an overload of all.
-const MAX_WAIT_SLACK: f64 = 1.2;
+const MAX_WAIT_SLACK_MULTIPLE: f64 = 1.2;
 
 /// How long attempts wait at endpoints before they are executed, in microseconds, over all classes.
 #[derive(Default)]
@@ -48,7 +48,7 @@
     /// The mean as of the last attempt that counted.
     mean_us: f64,
     /// The baseline latency, over classes as they are answered.
-    typical_us: f64,
+    typical_baseline_us: f64,
     updated_at: Timestamp,
 }
 
@@ -73,28 +73,29 @@
     ) {
         let latency = &latencies[class];
         let baseline_us = latency.baseline_us;
-        let waited_us = (elapsed_us - baseline_us).min(MAX_WAIT_SLACK * latency.slack_us().max(0.0));
+        let waited_us = (elapsed_us - baseline_us).min(MAX_WAIT_SLACK_MULTIPLE * latency.slack_us().max(0.0));
         if served || waited_us > self.mean_us {
-            self.typical_us += TYPICAL_STEP * (baseline_us - self.typical_us);
+            self.typical_baseline_us += TYPICAL_BASELINE_STEP * (baseline_us - self.typical_baseline_us);
             // Load makes all waits a little longer, a lost response or a silent endpoint makes some endless:
             // no wait counts as further from the mean than by a typical latency.
-            let difference = (waited_us - self.mean_us).clamp(-self.typical_us, self.typical_us);
-            self.mean_us += WAIT_STEP * (shortest_baseline_us(latencies) / baseline_us) * difference;
+            let difference =
+                (waited_us - self.mean_us).clamp(-self.typical_baseline_us, self.typical_baseline_us);
+            self.mean_us += MEAN_WAIT_STEP * (shortest_baseline_us(latencies) / baseline_us) * difference;
             self.updated_at = now;
         }
     }
 }
 
 /// Shedding of work within quotas begins at a mean wait of this part of its class's slack.
-const SHED_FROM: f64 = 0.2;
+const SHED_START_SLACK_FRACTION: f64 = 0.2;
 /// It grows to all of that work over so much more of the slack.
-const SHED_RANGE: f64 = 0.4;
+const SHED_RANGE_SLACK_FRACTION: f64 = 0.4;
 /// Shedding of work beyond quotas begins at a mean wait of this part of the least slack of all classes.
-const OVER_QUOTA_SHED_FROM: f64 = 0.1;
+const OVER_QUOTA_SHED_START_SLACK_FRACTION: f64 = 0.1;
 /// It grows to all of that work over so much more of that slack.
-const OVER_QUOTA_SHED_RANGE: f64 = 0.2;
+const OVER_QUOTA_SHED_RANGE_SLACK_FRACTION: f64 = 0.2;
 /// A mean wait below this part of the typical latency is no load: responses of one class vary by as much.
-const UNLOADED_WAIT: f64 = 0.75;
+const UNLOADED_WAIT_FRACTION: f64 = 0.75;
 
 /// Which requests are let in: the quotas of tenants, and how long attempts wait.
 pub(super) struct Admission {
@@ -112,7 +113,7 @@
     /// Counts a request against its tenant's quota, if there is one, and returns whether it is within it.
     pub(super) fn take_quota(&mut self, tenant: Option<u32>, now: Timestamp) -> bool {
         let quota = tenant.and_then(|tenant| self.quotas.get_mut(tenant as usize));
-        quota.is_none_or(|quota| quota.take(now))
+        quota.is_none_or(|quota| quota.try_take(now))
     }
 
     /// The probability that a request is admitted: `1 - (1 - visibility) * clamp((wait - from) / range, 0,
@@ -129,11 +130,11 @@
     ) -> f64 {
         let (from, range) = if request.within_quota {
             let slack_us = latencies[request.class].slack_us();
-            let unloaded_us = self.queue_wait.typical_us * UNLOADED_WAIT;
-            ((SHED_FROM * slack_us).max(unloaded_us), SHED_RANGE * slack_us)
+            let unloaded_us = self.queue_wait.typical_baseline_us * UNLOADED_WAIT_FRACTION;
+            ((SHED_START_SLACK_FRACTION * slack_us).max(unloaded_us), SHED_RANGE_SLACK_FRACTION * slack_us)
         } else {
             let slack_us = latencies.iter().map(LatencyEstimator::slack_us).fold(f64::MAX, f64::min);
-            (OVER_QUOTA_SHED_FROM * slack_us, OVER_QUOTA_SHED_RANGE * slack_us)
+            (OVER_QUOTA_SHED_START_SLACK_FRACTION * slack_us, OVER_QUOTA_SHED_RANGE_SLACK_FRACTION * slack_us)
         };
         let overload = ((self.queue_wait.mean_at(now) - from) / range.max(1.0)).clamp(0.0, 1.0);
         1.0 - (1.0 - local_load_visibility) * overload
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -54,7 +54,7 @@
         let endpoint = &mut self.table.endpoints[i];
         endpoint.in_flight += 1;
         endpoint.last_sent = self.now;
-        self.table.maintenance.probed(endpoint.info.id);
+        self.table.maintenance.mark_probed(endpoint.info.id);
         request.queued = false;
         request.attempts.push(Attempt::new(endpoint.info, self.now));
         self.actions.push(Action::Send { request: id, endpoint: endpoint.info.id, begin_by });
--- a/src/balancer/concurrency.rs
+++ b/src/balancer/concurrency.rs
@@ -9,9 +9,9 @@
 /// Nor does it fall below this multiple of the concurrency that served work within quotas needs without load.
 const DEMAND_MULTIPLE: f64 = 3.5;
 /// Growth of the limit with a response in time, while requests are queued.
-const GROWTH: f64 = 1.005;
+const LIMIT_GROWTH_FACTOR: f64 = 1.005;
 /// What a late response leaves of the limit while responses are slowed down.
-const BACKOFF: f64 = 0.975;
+const LIMIT_DECREASE_FACTOR: f64 = 0.975;
 
 /// What a response tells of the limit.
 pub(super) struct LimitSample<'a> {
@@ -52,7 +52,7 @@
     }
 
     /// Whether this node's own counts show all of the load.
-    pub(super) fn sees_load(&self) -> bool {
+    pub(super) fn is_load_fully_visible(&self) -> bool {
         self.local_load_visibility() == 1.0
     }
 
@@ -62,17 +62,18 @@
     pub(super) fn record(&mut self, now: Timestamp, sample: &LimitSample<'_>, ready_endpoints: usize) {
         let latency = sample.latency;
         let factor = match (sample.elapsed_us > latency.objective_us, latency.is_slowed_down()) {
-            (true, true) => BACKOFF,
-            (false, false) if sample.queued => GROWTH,
+            (true, true) => LIMIT_DECREASE_FACTOR,
+            (false, false) if sample.queued => LIMIT_GROWTH_FACTOR,
             _ => 1.0,
         };
         // Demand is what is served. Counting what arrives, or a baseline that is a guess yet, would raise the
         // limit until endpoints are overloaded.
-        let counts = sample.within_quota && !latency.is_guess();
-        self.demand.add(now, if counts { latency.baseline_us } else { 0.0 });
+        let counts_as_demand = sample.within_quota && !latency.is_baseline_guess();
+        self.demand.add(now, if counts_as_demand { latency.baseline_us } else { 0.0 });
         // Little's law: arrivals per microsecond times the microseconds each takes is concurrency.
-        let needed = self.demand.rate_per_us(now) * self.node_count / ready_endpoints.max(1) as f64;
+        let needed_concurrency =
+            self.demand.rate_per_us(now) * self.node_count / ready_endpoints.max(1) as f64;
         // A slowdown of all endpoints makes every response late; shrinking further would only serve fewer.
-        self.limit = (self.limit * factor).max(DEMAND_MULTIPLE * needed).max(INITIAL_LIMIT);
+        self.limit = (self.limit * factor).max(DEMAND_MULTIPLE * needed_concurrency).max(INITIAL_LIMIT);
     }
 }
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -6,7 +6,7 @@
 use super::interface::{EndpointId, EndpointInfo, EndpointState, Settings, Timestamp, whole_micros};
 use super::latency::LatencyRatio;
 use super::maintenance::Maintenance;
-use super::outliers::{EndpointOutliers, Failure};
+use super::outliers::{EndpointOutliers, FailureKind};
 
 /// One endpoint and what this node knows of it.
 pub(super) struct Endpoint {
@@ -83,7 +83,7 @@
                     self.endpoints[i].info = info;
                 }
                 // A restarted endpoint keeps its id, but nothing learned of it holds any more.
-                Ok(i) => self.forget(i, info, class_count),
+                Ok(i) => self.reset_learned_state(i, info, class_count),
             }
         }
         self.endpoints
@@ -92,7 +92,7 @@
     }
 
     /// Keeps of an endpoint only what holds after its restart too.
-    pub(super) fn forget(&mut self, i: usize, info: EndpointInfo, class_count: usize) {
+    pub(super) fn reset_learned_state(&mut self, i: usize, info: EndpointInfo, class_count: usize) {
         let Endpoint { relative_size, selection_weight, in_flight, .. } = self.endpoints[i];
         let fresh = Endpoint::new(info, class_count);
         self.endpoints[i] = Endpoint { relative_size, selection_weight, in_flight, ..fresh };
@@ -102,10 +102,10 @@
     pub(super) fn refresh_ready(&mut self, settings: &Settings) {
         let is_ready = |i: &usize| {
             let info = &self.endpoints[*i].info;
-            info.state == EndpointState::Ready && !self.maintenance.ongoing.contains(&info.id)
+            info.state == EndpointState::Ready && !self.maintenance.in_maintenance.contains(&info.id)
         };
         self.ready = (0..self.endpoints.len()).filter(is_ready).collect();
-        let sizes: Vec<f64> = self.ready.iter().map(|i| self.stated_size(*i, settings)).collect();
+        let sizes: Vec<f64> = self.ready.iter().map(|i| self.listed_size(*i, settings)).collect();
         let mean = sizes.iter().sum::<f64>() / sizes.len().max(1) as f64;
         for (i, size) in self.ready.iter().zip(sizes) {
             self.endpoints[*i].relative_size = if size > 0.0 { size / mean } else { 1.0 };
@@ -115,7 +115,7 @@
     /// The size that lists state. A weight that falls with load is old, and the same at all nodes: by it all
     /// of them would crowd what was idle a while ago. There the largest weight seen of the machine type is
     /// the size.
-    fn stated_size(&self, i: usize, settings: &Settings) -> f64 {
+    fn listed_size(&self, i: usize, settings: &Settings) -> f64 {
         let info = &self.endpoints[i].info;
         match self.machine_type_sizes.get(&info.machine_type) {
             Some(size) if settings.load_dependent_weights => *size,
@@ -134,7 +134,13 @@
     }
 
     /// Counts a failure at an endpoint, and what is normal among these peers, by default the ready endpoints.
-    pub(super) fn add_failure(&mut self, i: usize, peers: Option<&[usize]>, kind: Failure, now: Timestamp) {
+    pub(super) fn record_failure(
+        &mut self,
+        i: usize,
+        peers: Option<&[usize]>,
+        kind: FailureKind,
+        now: Timestamp,
+    ) {
         let peers = peers.unwrap_or(&self.ready);
         let endpoints = &mut self.endpoints;
         endpoints[i].outliers.detector(kind).recent.add(now, 1.0);
--- a/src/balancer/feedback.rs
+++ b/src/balancer/feedback.rs
@@ -5,7 +5,7 @@
 use super::Balancer;
 use super::concurrency::LimitSample;
 use super::interface::{Outcome, as_micros_f64};
-use super::outliers::Failure;
+use super::outliers::FailureKind;
 use super::requests::{Attempt, QueuedRequest};
 
 impl Balancer {
@@ -17,7 +17,7 @@
         self.table.endpoints[i].in_flight -= u32::from(end.executing);
         let (served, elapsed_us) = (outcome == Outcome::Served, as_micros_f64(elapsed));
         let sent_at = self.now - elapsed;
-        if served && !end.executing || self.table.maintenance.is_before_return(end.endpoint.id, sent_at) {
+        if served && !end.executing || self.table.maintenance.was_sent_before_exit(end.endpoint.id, sent_at) {
             return;
         }
         if !outcome.not_executed() {
@@ -27,8 +27,8 @@
         match outcome {
             Outcome::Served => self.learn_latency(entry, i, elapsed_us),
             Outcome::Cancelled | Outcome::NotSent => {}
-            Outcome::Error => self.learn_failure(i, Failure::ErrorOf(entry.class)),
-            _ => self.learn_failure(i, Failure::Any),
+            Outcome::Error => self.learn_failure(i, FailureKind::ClassError(entry.class)),
+            _ => self.learn_failure(i, FailureKind::AnyClass),
         }
     }
 
@@ -42,9 +42,9 @@
     }
 
     /// The peers are the endpoints of its pool; for an error, all that are ready.
-    fn learn_failure(&mut self, i: usize, kind: Failure) {
-        let is_peer = |pool: &&[usize]| kind == Failure::Any && pool.contains(&i);
+    fn learn_failure(&mut self, i: usize, kind: FailureKind) {
+        let is_peer = |pool: &&[usize]| kind == FailureKind::AnyClass && pool.contains(&i);
         let peers = self.pools.iter().map(|pool| &pool.members[..]).find(is_peer);
-        self.table.add_failure(i, peers, kind, self.now);
+        self.table.record_failure(i, peers, kind, self.now);
     }
 }
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -13,7 +13,7 @@
 /// The median may rise to this multiple of the baseline before responses count as slowed down.
 const LATENCY_TOLERANCE: f64 = 1.1;
 /// The baseline is a guess up to so many responses, the guess among them.
-const GUESSED_SAMPLES: f64 = 5.0;
+const MAX_GUESS_SAMPLES: f64 = 5.0;
 
 /// How long the responses of one class take, in microseconds.
 pub(super) struct LatencyEstimator {
@@ -63,8 +63,8 @@
     }
 
     /// Whether too few responses were seen for the baseline to be more than a guess.
-    pub(super) fn is_guess(&self) -> bool {
-        self.samples <= GUESSED_SAMPLES
+    pub(super) fn is_baseline_guess(&self) -> bool {
+        self.samples <= MAX_GUESS_SAMPLES
     }
 }
 
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -14,7 +14,7 @@
 
 impl Balancer {
     /// Takes in a list, complete or of changes.
-    pub(super) fn endpoints_changed(&mut self, list: Vec<EndpointInfo>, complete: bool) {
+    pub(super) fn update_endpoints(&mut self, list: Vec<EndpointInfo>, complete: bool) {
         self.failed_polls = 0;
         // Weights that follow load come twice a second: new pools for each would take a node's CPU.
         if self.table.update(list, complete, self.settings.classes.len()) {
@@ -37,7 +37,7 @@
     pub(super) fn exit_maintenance(&mut self, id: EndpointId, at: Timestamp) {
         self.table.maintenance.exit(id, at, self.now, self.settings.slow_start_window);
         if let Ok(i) = self.table.find(id) {
-            self.table.forget(i, self.table.endpoints[i].info, self.settings.classes.len());
+            self.table.reset_learned_state(i, self.table.endpoints[i].info, self.settings.classes.len());
         }
         self.rebuild_pools();
         self.dispatch();
@@ -53,7 +53,7 @@
     /// Polls again after a wait of at most half of the longest time that the settings allow without a poll.
     /// The wait is drawn from the upper half of its range, so that nodes which failed together do not poll
     /// together.
-    pub(super) fn discovery_failed(&mut self) {
+    pub(super) fn retry_discovery(&mut self) {
         let DiscoveryMode::Poll { interval } = self.settings.discovery else { return };
         let backoff_us = whole_micros(POLL_BACKOFF) << self.failed_polls.min(MAX_BACKOFF_DOUBLINGS);
         let half_us = backoff_us.min(whole_micros(interval) / 2).max(2) / 2;
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -36,7 +36,7 @@
 use self::hedging::HedgeStatistics;
 use self::latency::LatencyEstimator;
 use self::requests::{ActiveRequest, QueuedRequest};
-use self::subsets::{LABELS, Pool, build_pools, choose_label_salt};
+use self::subsets::{LABEL_COUNT, Pool, build_pools, choose_label_salt};
 
 pub use self::interface::*;
 
@@ -80,7 +80,7 @@
             label_salt: choose_label_salt(&settings.tenants),
             pools: Vec::new(),
             requests: BTreeMap::new(),
-            queues: vec![Vec::new(); LABELS + 1],
+            queues: vec![Vec::new(); LABEL_COUNT + 1],
             dispatch_timer_set: false,
             admission: Admission::new(&settings),
             latencies: settings.classes.iter().map(LatencyEstimator::new).collect(),
@@ -96,13 +96,13 @@
         // A clock that runs backwards must not wrap differences around.
         self.now = self.now.max(now);
         match event {
-            Event::EndpointSnapshot(list) => self.endpoints_changed(list, true),
-            Event::EndpointDelta(list) => self.endpoints_changed(list, false),
+            Event::EndpointSnapshot(list) => self.update_endpoints(list, true),
+            Event::EndpointDelta(list) => self.update_endpoints(list, false),
             Event::CachedSnapshot(list) => {
-                self.endpoints_changed(list, true);
+                self.update_endpoints(list, true);
                 self.poll_discovery();
             }
-            Event::DiscoveryFailed => self.discovery_failed(),
+            Event::DiscoveryFailed => self.retry_discovery(),
             Event::EnterMaintenance(id) => self.enter_maintenance(id),
             Event::ExitMaintenance(id, at) => self.exit_maintenance(id, at),
             Event::RequestArrived(request) => self.request_arrived(request),
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -9,21 +9,21 @@
 
 /// What a failure tells of the endpoint.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Failure {
+pub(super) enum FailureKind {
     /// An error response: it may be about its class alone.
-    ErrorOf(usize),
+    ClassError(usize),
     /// A break, a rejection or silence: whatever the request was.
-    Any,
+    AnyClass,
 }
 
-impl Failure {
+impl FailureKind {
     /// What counts as normal among peers with these counts: the mean. Of errors it is the lower quartile, as
     /// most peers may err on one class while the others serve it.
     pub(super) fn baseline(self, mut counts: Vec<f64>) -> f64 {
         counts.sort_by(f64::total_cmp);
         match self {
-            Failure::ErrorOf(_) => counts.get(counts.len() / 4).copied().unwrap_or(0.0),
-            Failure::Any => counts.iter().sum::<f64>() / counts.len().max(1) as f64,
+            FailureKind::ClassError(_) => counts.get(counts.len() / 4).copied().unwrap_or(0.0),
+            FailureKind::AnyClass => counts.iter().sum::<f64>() / counts.len().max(1) as f64,
         }
     }
 }
@@ -55,39 +55,39 @@
 #[derive(Default)]
 pub(super) struct EndpointOutliers {
     /// Failures that may befall any request.
-    any: OutlierDetector,
+    any_class: OutlierDetector,
     /// Errors by class: an endpoint that errs on one may serve the others well.
-    errors: Vec<OutlierDetector>,
+    class_errors: Vec<OutlierDetector>,
 }
 
 impl EndpointOutliers {
     pub(super) fn new(class_count: usize) -> EndpointOutliers {
         EndpointOutliers {
-            any: OutlierDetector::default(),
-            errors: vec![OutlierDetector::default(); class_count],
+            any_class: OutlierDetector::default(),
+            class_errors: vec![OutlierDetector::default(); class_count],
         }
     }
 
     /// The detector that counts failures of a kind.
-    pub(super) fn detector(&mut self, kind: Failure) -> &mut OutlierDetector {
+    pub(super) fn detector(&mut self, kind: FailureKind) -> &mut OutlierDetector {
         match kind {
-            Failure::ErrorOf(class) => &mut self.errors[class],
-            Failure::Any => &mut self.any,
+            FailureKind::ClassError(class) => &mut self.class_errors[class],
+            FailureKind::AnyClass => &mut self.any_class,
         }
     }
 
     /// Recent failures that a request of this class has to expect.
     pub(super) fn excess_failures(&self, class: usize, now: Timestamp) -> f64 {
-        self.any.excess_failures(now) + self.errors[class].excess_failures(now)
+        self.any_class.excess_failures(now) + self.class_errors[class].excess_failures(now)
     }
 
     /// Whether the endpoint is ejected for all classes.
     pub(super) fn is_ejected(&self, now: Timestamp) -> bool {
-        self.any.ejected_until > now
+        self.any_class.ejected_until > now
     }
 
     /// Whether the endpoint is ejected for its errors on this class.
-    pub(super) fn errs_on(&self, class: usize, now: Timestamp) -> bool {
-        self.errors[class].ejected_until > now
+    pub(super) fn is_ejected_for_class(&self, class: usize, now: Timestamp) -> bool {
+        self.class_errors[class].ejected_until > now
     }
 }
--- a/src/balancer/queue.rs
+++ b/src/balancer/queue.rs
@@ -26,7 +26,7 @@
                     break;
                 }
                 self.queues[pool].swap_remove(at);
-                match pools.into_iter().find_map(|pool| self.pick(request.id, pool)) {
+                match pools.into_iter().find_map(|pool| self.select_endpoint(request.id, pool)) {
                     Some(endpoint) => self.send(request.id, endpoint),
                     None => blocked.push(request),
                 }
@@ -68,7 +68,7 @@
         size > 0.0
             && self.queues[pool].is_empty()
             && self.has_capacity(pool, SPARE_CAPACITY)
-            && (self.concurrency.sees_load() || warranted())
+            && (self.concurrency.is_load_fully_visible() || warranted())
     }
 
     /// What a response to the request, sent now, would earn for the time it takes: `priority weight * quota
--- a/src/balancer/reevaluation.rs
+++ b/src/balancer/reevaluation.rs
@@ -39,7 +39,7 @@
             return self.reject_or_fail(id);
         }
         if self.needs_hedge(request)
-            && let Some(endpoint) = self.pick(id, request.pool)
+            && let Some(endpoint) = self.select_endpoint(id, request.pool)
         {
             self.send(id, endpoint);
         }
--- a/src/balancer/subsets.rs
+++ b/src/balancer/subsets.rs
@@ -12,9 +12,9 @@
 use super::interface::{Settings, Tenant};
 
 /// Labels that tenants are hashed to; few, so that pools keep capacity.
-pub(super) const LABELS: usize = 2;
+pub(super) const LABEL_COUNT: usize = 2;
 /// Salts that are tried for the hash of tenants to labels.
-const LABEL_SALTS: u64 = 64;
+const LABEL_SALT_COUNT: u64 = 64;
 /// The least endpoints in a label's pool while there are enough.
 const MIN_POOL_SIZE: usize = 4;
 /// How many nodes' subsets an endpoint of mean size is in.
@@ -23,9 +23,9 @@
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
 /// What a subset can't take goes to so many subsets' lengths behind it on the ring, then to as many behind
 /// those.
-const SPILLOVER_SUBSETS: f64 = 4.0;
+const SUBSETS_PER_SPILLOVER_STEP: f64 = 4.0;
 /// The factor of the selection weight with each of these steps.
-const SPILLOVER_WEIGHT: f64 = 1e-3;
+const SPILLOVER_WEIGHT_FACTOR: f64 = 1e-3;
 /// The most steps that count: far out the order does not matter, but a weight must not vanish.
 const MAX_SPILLOVER_STEPS: f64 = 60.0;
 
@@ -38,25 +38,25 @@
 }
 
 /// The label of a tenant.
-fn label(tenant: u64, salt: u64) -> usize {
-    (hash(tenant, salt) % LABELS as u64) as usize
+fn tenant_label(tenant: u64, salt: u64) -> usize {
+    (hash(tenant, salt) % LABEL_COUNT as u64) as usize
 }
 
 /// The part of the service that the tenants of a label have a right to.
-fn service_share(tenants: &[Tenant], of: usize, salt: u64) -> f64 {
-    let of_label = tenants.iter().enumerate().filter(|(i, _)| label(*i as u64, salt) == of);
+fn service_share(tenants: &[Tenant], label: usize, salt: u64) -> f64 {
+    let of_label = tenants.iter().enumerate().filter(|(i, _)| tenant_label(*i as u64, salt) == label);
     of_label.map(|(_, tenant)| tenant.service_share).sum()
 }
 
 /// Of a few salts, the one that spreads the tenants' parts of the service most evenly over the labels.
 pub(super) fn choose_label_salt(tenants: &[Tenant]) -> u64 {
-    let largest = |salt: &u64| (0..LABELS).map(|l| service_share(tenants, l, *salt)).fold(0.0, f64::max);
-    (0..LABEL_SALTS).min_by(|a, b| largest(a).total_cmp(&largest(b))).unwrap_or(0)
+    let largest = |salt: &u64| (0..LABEL_COUNT).map(|l| service_share(tenants, l, *salt)).fold(0.0, f64::max);
+    (0..LABEL_SALT_COUNT).min_by(|a, b| largest(a).total_cmp(&largest(b))).unwrap_or(0)
 }
 
 /// The pool of a tenant's requests; without a tenant that of the unlabelled endpoints.
 pub(super) fn pool_of(tenant: Option<u32>, salt: u64) -> usize {
-    tenant.map_or(LABELS, |tenant| label(tenant.into(), salt))
+    tenant.map_or(LABEL_COUNT, |tenant| tenant_label(tenant.into(), salt))
 }
 
 /// Builds the pools of all labels and, last, that of the unlabelled endpoints. Each label in turn takes the
@@ -65,38 +65,42 @@
 pub(super) fn build_pools(table: &mut EndpointTable, settings: &Settings, salt: u64) -> Vec<Pool> {
     table.refresh_ready(settings);
     let ready = table.ready.len();
-    let (mut free, mut share, mut pools) = (table.ready.clone(), 0.0, Vec::new());
-    for label in 0..LABELS {
-        share += service_share(&settings.tenants, label, salt);
-        let taken = ready - free.len();
-        let due = ((ready as f64 * share.min(1.0)).round() as usize).saturating_sub(taken);
-        let reserved_for_later = MIN_POOL_SIZE * (LABELS - 1 - label);
-        let available = free.len().saturating_sub(reserved_for_later).max(MIN_POOL_SIZE).min(free.len());
-        free.sort_by_key(|i| Reverse(hash(label as u64, table.endpoints[*i].info.id)));
-        let rest = free.split_off(due.max(MIN_POOL_SIZE).min(available));
-        pools.push(std::mem::replace(&mut free, rest));
+    let (mut unassigned, mut total_share, mut pools) = (table.ready.clone(), 0.0, Vec::new());
+    for label in 0..LABEL_COUNT {
+        total_share += service_share(&settings.tenants, label, salt);
+        let assigned = ready - unassigned.len();
+        let target_size = ((ready as f64 * total_share.min(1.0)).round() as usize).saturating_sub(assigned);
+        let reserved_for_later = MIN_POOL_SIZE * (LABEL_COUNT - 1 - label);
+        let available =
+            unassigned.len().saturating_sub(reserved_for_later).max(MIN_POOL_SIZE).min(unassigned.len());
+        unassigned.sort_by_key(|i| Reverse(hash(label as u64, table.endpoints[*i].info.id)));
+        let rest = unassigned.split_off(target_size.max(MIN_POOL_SIZE).min(available));
+        pools.push(std::mem::replace(&mut unassigned, rest));
     }
-    free.sort();
-    pools.push(free);
-    pools.into_iter().map(|members| cut_subset(members, table, settings)).collect()
+    unassigned.sort();
+    pools.push(unassigned);
+    pools.into_iter().map(|members| assign_subset(members, table, settings)).collect()
 }
 
 /// Cuts this node's subset of a pool. The members lie on a ring by size, and the nodes' subsets, equal arcs
 /// of it, start at even distances, whichever nodes are up: each endpoint gets its part of the work from the
 /// subsets that overlap it. What goes elsewhere goes to the same few again, on connections that exist.
-fn cut_subset(members: Vec<usize>, table: &mut EndpointTable, settings: &Settings) -> Pool {
-    let ring: f64 = members.iter().map(|i| table.endpoints[*i].relative_size).sum();
-    let part = (NODES_PER_ENDPOINT / f64::from(settings.node_count)).min(1.0);
-    let start = (f64::from(settings.node_index) * GOLDEN_RATIO_FRACTION).fract() * ring;
-    let end = start + ring * part;
-    let mut at = 0.0;
+fn assign_subset(members: Vec<usize>, table: &mut EndpointTable, settings: &Settings) -> Pool {
+    let ring_length: f64 = members.iter().map(|i| table.endpoints[*i].relative_size).sum();
+    let subset_fraction = (NODES_PER_ENDPOINT / f64::from(settings.node_count)).min(1.0);
+    let start = (f64::from(settings.node_index) * GOLDEN_RATIO_FRACTION).fract() * ring_length;
+    let end = start + ring_length * subset_fraction;
+    let mut position = 0.0;
     for i in &members {
         let size = table.endpoints[*i].relative_size;
         let overlap = |from: f64| ((from + size).min(end) - from.max(start)).max(0.0);
-        let steps = ((at - end).rem_euclid(ring) / (ring * part * SPILLOVER_SUBSETS)).floor();
-        let spillover = size * SPILLOVER_WEIGHT.powf(1.0 + steps.min(MAX_SPILLOVER_STEPS));
-        table.endpoints[*i].selection_weight = (overlap(at) + overlap(at + ring)).max(spillover);
-        at += size;
+        let spillover_steps = ((position - end).rem_euclid(ring_length)
+            / (ring_length * subset_fraction * SUBSETS_PER_SPILLOVER_STEP))
+            .floor();
+        let spillover = size * SPILLOVER_WEIGHT_FACTOR.powf(1.0 + spillover_steps.min(MAX_SPILLOVER_STEPS));
+        table.endpoints[*i].selection_weight =
+            (overlap(position) + overlap(position + ring_length)).max(spillover);
+        position += size;
     }
-    Pool { subset_size: (members.len() as f64 * part).ceil(), members }
+    Pool { subset_size: (members.len() as f64 * subset_fraction).ceil(), members }
 }
