--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,14 +1,15 @@
-//! Admission: quotas of tenants, and load shedding by how long attempts wait at endpoints.
+//! Admission: quotas of tenants, and load shedding based on how long attempts wait at endpoints.
 
 use super::decay::DECAY_TIME_US;
 use super::interface::{Settings, Tenant, Timestamp};
 use super::latency::{LatencyEstimator, shortest_baseline_us};
 use super::requests::QueuedRequest;
 
-/// The least burst of a tenant at a node: few nodes see its requests evenly.
+/// Minimum burst of a tenant at a node, in requests. At most nodes, a tenant's requests arrive unevenly.
 const MIN_BURST_TOKENS: f64 = 4.0;
 
-/// A node's part of a tenant's quota, as a token bucket; it holds what is refilled in a second.
+/// Token bucket for this node's share of a tenant's quota. It holds the tokens of one second, at least
+/// [`MIN_BURST_TOKENS`].
 struct TokenBucket {
     rate_per_second: f64,
     burst: f64,
@@ -23,7 +24,7 @@
         TokenBucket { rate_per_second, burst, tokens: burst, refilled_at: Timestamp::default() }
     }
 
-    /// Takes a token, and returns whether there was one.
+    /// Takes a token, and returns whether one was available.
     fn try_take(&mut self, now: Timestamp) -> bool {
         let refill = self.rate_per_second * now.micros_since(self.refilled_at) / 1e6;
         self.tokens = (self.tokens + refill).min(self.burst);
@@ -34,35 +35,53 @@
     }
 }
 
-/// How far one response of the class with the lowest baseline moves the mean wait.
+/// Fraction of the difference by which one response of the class with the lowest baseline latency moves the
+/// mean wait.
 const MEAN_WAIT_STEP: f64 = 0.2;
-/// How far one response moves the typical latency.
+/// Fraction of the difference by which one response moves the typical baseline latency.
 const TYPICAL_BASELINE_STEP: f64 = 0.05;
-/// The longest wait that counts, as a multiple of its class's slack: a few very slow endpoints must not look
-/// like an overload of all.
+/// Longest wait that is counted, as a multiple of the slack of the request's class. A few very slow endpoints
+/// must not look like an overload of all.
 const MAX_WAIT_SLACK_MULTIPLE: f64 = 1.2;
 
-/// How long attempts wait at endpoints before they are executed, in microseconds, over all classes.
+/// Estimate of how long attempts of all classes wait at endpoints before they are executed.
 #[derive(Default)]
 pub(super) struct QueueWaitEstimator {
-    /// The mean as of the last attempt that counted.
+    /// Mean wait as of the last attempt that was counted, in microseconds.
     mean_us: f64,
-    /// The baseline latency, over classes as they are answered.
+    /// Mean baseline latency of the classes, weighted by how often each is answered, in microseconds.
     typical_baseline_us: f64,
     updated_at: Timestamp,
 }
 
 impl QueueWaitEstimator {
-    /// The mean wait. It fades to none while no attempt ends: a node that sheds all work would otherwise
-    /// never learn that the overload is over.
+    /// Returns the mean wait in microseconds. It decreases to 0 while no attempt ends: a node that sheds all
+    /// requests would otherwise never learn that the overload is over.
+    ///
+    /// ```text
+    /// mean wait = mean_us * max(1 - age / DECAY_TIME_US, 0)
+    ///
+    /// age   time since the last attempt that was counted, in microseconds
+    /// ```
     fn mean_at(&self, now: Timestamp) -> f64 {
         self.mean_us * (1.0 - now.micros_since(self.updated_at) / DECAY_TIME_US).max(0.0)
     }
 
-    /// Takes in how long an attempt took, served or not: what is beyond its class's baseline it has waited.
-    /// Long requests vary by more than they wait, so a class counts by `lowest baseline of all / its
-    /// baseline`. An attempt that was not served has waited at least so long, and counts only where that is
-    /// above the mean.
+    /// Records how long an attempt took, served or not. The time beyond the baseline latency of its class
+    /// counts as its wait.
+    ///
+    /// ```text
+    /// wait      = min(elapsed - baseline, MAX_WAIT_SLACK_MULTIPLE * max(slack, 0))
+    /// mean wait = mean wait + MEAN_WAIT_STEP * (lowest baseline of all / baseline) * difference
+    ///
+    /// baseline     baseline latency of the attempt's class
+    /// slack        latency objective of the class minus its baseline latency
+    /// difference   wait - mean wait, limited to the range of ± the typical baseline latency
+    /// ```
+    ///
+    /// The latency of long requests varies by more than their wait, so a class counts by `lowest baseline of
+    /// all / its baseline`. An attempt that was not served has waited at least this long, and is counted only
+    /// if its wait is above the mean.
     pub(super) fn record(
         &mut self,
         now: Timestamp,
@@ -76,8 +95,9 @@
         let waited_us = (elapsed_us - baseline_us).min(MAX_WAIT_SLACK_MULTIPLE * latency.slack_us().max(0.0));
         if served || waited_us > self.mean_us {
             self.typical_baseline_us += TYPICAL_BASELINE_STEP * (baseline_us - self.typical_baseline_us);
-            // Load makes all waits a little longer, a lost response or a silent endpoint makes some endless:
-            // no wait counts as further from the mean than by a typical latency.
+            // Load makes all waits slightly longer, whereas a lost response or an unresponsive endpoint makes
+            // a few of them arbitrarily long. No wait counts as further from the mean than the typical
+            // baseline latency.
             let difference =
                 (waited_us - self.mean_us).clamp(-self.typical_baseline_us, self.typical_baseline_us);
             self.mean_us += MEAN_WAIT_STEP * (shortest_baseline_us(latencies) / baseline_us) * difference;
@@ -86,20 +106,24 @@
     }
 }
 
-/// Shedding of work within quotas begins at a mean wait of this part of its class's slack.
+/// Mean wait at which shedding of requests within quota starts, as a fraction of the slack of their class.
 const SHED_START_SLACK_FRACTION: f64 = 0.2;
-/// It grows to all of that work over so much more of the slack.
+/// Further mean wait over which that shedding grows to all of these requests, as a fraction of the same
+/// slack.
 const SHED_RANGE_SLACK_FRACTION: f64 = 0.4;
-/// Shedding of work beyond quotas begins at a mean wait of this part of the least slack of all classes.
+/// Mean wait at which shedding of requests beyond quota starts, as a fraction of the smallest slack of all
+/// classes.
 const OVER_QUOTA_SHED_START_SLACK_FRACTION: f64 = 0.1;
-/// It grows to all of that work over so much more of that slack.
+/// Further mean wait over which that shedding grows to all of these requests, as a fraction of the same
+/// slack.
 const OVER_QUOTA_SHED_RANGE_SLACK_FRACTION: f64 = 0.2;
-/// A mean wait below this part of the typical latency is no load: responses of one class vary by as much.
+/// Mean wait, as a fraction of the typical baseline latency, below which it does not indicate load: the
+/// latency of responses of one class varies by as much.
 const UNLOADED_WAIT_FRACTION: f64 = 0.75;
 
-/// Which requests are let in: the quotas of tenants, and how long attempts wait.
+/// Decides which requests are admitted, by the tenants' quotas and by how long attempts wait.
 pub(super) struct Admission {
-    /// By tenant.
+    /// Token buckets by tenant.
     quotas: Vec<TokenBucket>,
     pub(super) queue_wait: QueueWaitEstimator,
 }
@@ -110,17 +134,31 @@
         Admission { quotas: quotas.collect(), queue_wait: QueueWaitEstimator::default() }
     }
 
-    /// Counts a request against its tenant's quota, if there is one, and returns whether it is within it.
+    /// Counts a request against its tenant's quota, if it has one, and returns whether it is within the
+    /// quota.
     pub(super) fn take_quota(&mut self, tenant: Option<u32>, now: Timestamp) -> bool {
         let quota = tenant.and_then(|tenant| self.quotas.get_mut(tenant as usize));
         quota.is_none_or(|quota| quota.try_take(now))
     }
 
-    /// The probability that a request is admitted: `1 - (1 - visibility) * clamp((wait - from) / range, 0,
-    /// 1)`, with the local load visibility of the concurrency limit. A node that sees little of the load by
-    /// its own counts sees an overload only in how long its few attempts wait; once that uses up what the
-    /// latency objectives leave, more work would make all of it late. A node that sees the load queues
-    /// requests instead.
+    /// Returns the probability that a request is admitted.
+    ///
+    /// ```text
+    /// probability = 1 - (1 - visibility) * clamp((wait - from) / range, 0, 1)
+    ///
+    /// visibility   local load visibility of the concurrency limit
+    /// wait         mean wait
+    /// from         within quota: max(SHED_START_SLACK_FRACTION * slack,
+    ///                                UNLOADED_WAIT_FRACTION * typical baseline latency)
+    ///              beyond quota: OVER_QUOTA_SHED_START_SLACK_FRACTION * smallest slack of all classes
+    /// range        within quota: SHED_RANGE_SLACK_FRACTION * slack
+    ///              beyond quota: OVER_QUOTA_SHED_RANGE_SLACK_FRACTION * smallest slack of all classes
+    /// slack        latency objective of the request's class minus its baseline latency
+    /// ```
+    ///
+    /// Times are in microseconds, and the range is at least 1 µs. A node whose own counts show little of the
+    /// load notices an overload only by how long its few attempts wait. Once the wait uses up the slack, more
+    /// requests would make all responses late. A node that sees the load queues requests instead.
     pub(super) fn probability(
         &self,
         now: Timestamp,
--- a/src/balancer/concurrency.rs
+++ b/src/balancer/concurrency.rs
@@ -1,23 +1,24 @@
-//! The adaptive concurrency limit: how many attempts endpoints take at once.
+//! The adaptive concurrency limit: how many attempts endpoints execute at once.
 
 use super::decay::DecayingCounter;
 use super::interface::Timestamp;
 use super::latency::LatencyEstimator;
 
-/// The limit at the start, which it never falls below.
+/// Initial limit, in attempts; also the minimum.
 const INITIAL_LIMIT: f64 = 2.0;
-/// Nor does it fall below this multiple of the concurrency that served work within quotas needs without load.
+/// The limit is at least this multiple of the concurrency that the served requests within quota need without
+/// load.
 const DEMAND_MULTIPLE: f64 = 3.5;
-/// Growth of the limit with a response in time, while requests are queued.
+/// Factor by which a response in time raises the limit while requests are queued.
 const LIMIT_GROWTH_FACTOR: f64 = 1.005;
-/// What a late response leaves of the limit while responses are slowed down.
+/// Factor by which a late response lowers the limit while responses are slowed down.
 const LIMIT_DECREASE_FACTOR: f64 = 0.975;
 
-/// What a response tells of the limit.
+/// A response as input to the concurrency limit.
 pub(super) struct LimitSample<'a> {
-    /// The latency of its class, with this response.
+    /// Latency estimator of its class, which already includes this response.
     pub(super) latency: &'a LatencyEstimator,
-    /// How long the attempt took.
+    /// How long the attempt took, in microseconds.
     pub(super) elapsed_us: f64,
     /// Whether the request is within its tenant's quota.
     pub(super) within_quota: bool,
@@ -25,11 +26,11 @@
     pub(super) queued: bool,
 }
 
-/// The limit of attempts in flight at an endpoint of mean size, over all nodes together.
+/// Limit of the attempts in flight at an endpoint of mean size, over all nodes together.
 pub(super) struct ConcurrencyLimit {
     limit: f64,
     node_count: f64,
-    /// Served work within quotas, in microseconds of baseline latency.
+    /// Served requests within quota, decaying, each counted as its class's baseline latency in microseconds.
     demand: DecayingCounter,
 }
 
@@ -39,14 +40,19 @@
         ConcurrencyLimit { limit: INITIAL_LIMIT, node_count: f64::from(node_count), demand }
     }
 
-    /// This node's part of the limit.
+    /// Returns this node's share of the limit, in attempts: `limit / node_count`.
     pub(super) fn per_node(&self) -> f64 {
         self.limit / self.node_count
     }
 
-    /// How much of an endpoint's load this node's own counts show, from 0 to 1: `2 * limit / node_count`, at
-    /// most 1. A node whose part of the limit is under half an attempt mostly counts zero, however loaded the
-    /// endpoint is.
+    /// Returns how much of an endpoint's load this node's own counts show, from 0 to 1.
+    ///
+    /// ```text
+    /// local load visibility = min(2 * limit / node_count, 1)
+    /// ```
+    ///
+    /// A node whose share of the limit is less than half an attempt mostly counts 0 attempts in flight,
+    /// however loaded the endpoint is.
     pub(super) fn local_load_visibility(&self) -> f64 {
         (2.0 * self.limit / self.node_count).min(1.0)
     }
@@ -56,9 +62,20 @@
         self.local_load_visibility() == 1.0
     }
 
-    /// Moves the limit by a response: up if it was in time while others are queued, down if it was late. Late
-    /// responses may come from pauses, so that only those count which come while the median is up as well;
-    /// and while it is up, more work would only overload endpoints.
+    /// Adjusts the limit to a response: raises it if the response was in time while requests are queued, and
+    /// lowers it if the response was late.
+    ///
+    /// ```text
+    /// limit              = max(limit * factor, DEMAND_MULTIPLE * needed concurrency, INITIAL_LIMIT)
+    /// needed concurrency = demand * node count / ready endpoints
+    ///
+    /// factor   LIMIT_DECREASE_FACTOR, LIMIT_GROWTH_FACTOR or 1
+    /// demand   microseconds of baseline latency served within quota by this node per microsecond
+    /// ```
+    ///
+    /// Pauses of endpoints may also cause late responses, so a late response lowers the limit only while the
+    /// median latency is raised as well. While the median is raised, the limit does not grow either: more
+    /// requests would only overload the endpoints.
     pub(super) fn record(&mut self, now: Timestamp, sample: &LimitSample<'_>, ready_endpoints: usize) {
         let latency = sample.latency;
         let factor = match (sample.elapsed_us > latency.objective_us, latency.is_slowed_down()) {
@@ -66,14 +83,15 @@
             (false, false) if sample.queued => LIMIT_GROWTH_FACTOR,
             _ => 1.0,
         };
-        // Demand is what is served. Counting what arrives, or a baseline that is a guess yet, would raise the
-        // limit until endpoints are overloaded.
+        // Only served requests count as demand. Counting arriving requests, or a baseline latency that is
+        // still a guess, would raise the limit until endpoints are overloaded.
         let counts_as_demand = sample.within_quota && !latency.is_baseline_guess();
         self.demand.add(now, if counts_as_demand { latency.baseline_us } else { 0.0 });
-        // Little's law: arrivals per microsecond times the microseconds each takes is concurrency.
+        // Little's law: concurrency = arrivals per microsecond * microseconds that each takes.
         let needed_concurrency =
             self.demand.rate_per_us(now) * self.node_count / ready_endpoints.max(1) as f64;
-        // A slowdown of all endpoints makes every response late; shrinking further would only serve fewer.
+        // If all endpoints slow down, every response is late; lowering the limit further would only serve
+        // fewer requests.
         self.limit = (self.limit * factor).max(DEMAND_MULTIPLE * needed_concurrency).max(INITIAL_LIMIT);
     }
 }
--- a/src/balancer/decay.rs
+++ b/src/balancer/decay.rs
@@ -1,13 +1,19 @@
-//! Exponential decay: recent events count in full, older ones less and less.
+//! Counters with exponential decay: recent events count in full, older ones less and less.
 
 use super::interface::Timestamp;
 
-/// Time constant of all decay, in microseconds: a count falls to 1/e of itself in this time.
+/// Time constant of all decay, in microseconds: a count falls to 1/e of its value in this time.
 pub(super) const DECAY_TIME_US: f64 = 3_000_000.0;
-/// The least time, in microseconds, that a rate is computed over: one event alone is no rate.
+/// Minimum time, in microseconds, that a rate is computed over: a single event does not determine a rate.
 const MIN_RATE_WINDOW_US: f64 = 1_000_000.0;
 
-/// A count that decays: an amount counts `amount * exp(-age / DECAY_TIME_US)`.
+/// A count that decays exponentially. Each amount that was added contributes:
+///
+/// ```text
+/// amount * exp(-age / DECAY_TIME_US)
+///
+/// age   time since the amount was added, in microseconds
+/// ```
 #[derive(Clone, Copy, Default)]
 pub(super) struct DecayingCounter {
     /// The count as of `updated_at`.
@@ -18,24 +24,33 @@
 }
 
 impl DecayingCounter {
-    /// A counter that starts now with this value.
+    /// Returns a counter that starts now with this value.
     pub(super) fn starting_with(value: f64, now: Timestamp) -> DecayingCounter {
         DecayingCounter { value, updated_at: now, started_at: now }
     }
 
-    /// The decayed count.
+    /// Returns the decayed count at this instant.
     pub(super) fn value_at(&self, now: Timestamp) -> f64 {
         self.value * (-now.micros_since(self.updated_at) / DECAY_TIME_US).exp()
     }
 
-    /// Adds to the count.
+    /// Adds an amount to the count.
     pub(super) fn add(&mut self, now: Timestamp, amount: f64) {
         let started_at = if self.started_at == Timestamp::default() { now } else { self.started_at };
         *self = DecayingCounter { value: self.value_at(now) + amount, updated_at: now, started_at };
     }
 
-    /// The amount added per microsecond. At a steady rate `r` the count is `r * T * (1 - exp(-age / T))` with
-    /// `T = DECAY_TIME_US`: one that is younger than `T` has not been added up in full.
+    /// Returns the rate at which amounts are added, per microsecond. At a steady rate, the count is:
+    ///
+    /// ```text
+    /// count = r * T * (1 - exp(-age / T))
+    ///
+    /// r     rate, per microsecond
+    /// T     DECAY_TIME_US
+    /// age   time since the first amount was added, in microseconds
+    /// ```
+    ///
+    /// The last factor corrects for counters that are younger than `T` and have not reached `r * T` yet.
     pub(super) fn rate_per_us(&self, now: Timestamp) -> f64 {
         let age = now.micros_since(self.started_at).max(MIN_RATE_WINDOW_US);
         self.value_at(now) / DECAY_TIME_US / (1.0 - (-age / DECAY_TIME_US).exp())
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -1,4 +1,5 @@
-//! The endpoint table: what lists say of endpoints, what was learned of them, and which are ready.
+//! The endpoint table: what discovery reports about endpoints, what was learned about them, and which are
+//! ready.
 
 use std::collections::BTreeMap;
 
@@ -8,25 +9,25 @@
 use super::maintenance::Maintenance;
 use super::outliers::{EndpointOutliers, FailureKind};
 
-/// One endpoint and what this node knows of it.
+/// An endpoint and what this node knows about it.
 pub(super) struct Endpoint {
-    /// Its entry in the last list that named it.
+    /// Entry of the endpoint in the last snapshot or delta that contained it.
     pub(super) info: EndpointInfo,
-    /// Size against the mean of the ready endpoints.
+    /// Size relative to the mean size of the ready endpoints.
     pub(super) relative_size: f64,
-    /// The part of that size which falls to this node's subset; where none does, a little of it by the
-    /// distance to the subset.
+    /// The part of the relative size that lies in this node's subset. Outside of the subset, a small fraction
+    /// of the relative size that decreases with the distance to the subset.
     pub(super) selection_weight: f64,
-    /// Attempts of this node that it is executing.
+    /// Number of this node's attempts that the endpoint is executing.
     pub(super) in_flight: u32,
-    /// When this node last sent it an attempt; the clock's start for never.
+    /// When this node last sent an attempt to the endpoint; the start of the clock if it never did.
     pub(super) last_sent: Timestamp,
     pub(super) outliers: EndpointOutliers,
     pub(super) latency_ratio: LatencyRatio,
 }
 
 impl Endpoint {
-    /// One of which nothing is known but its entry in the list.
+    /// Returns an endpoint of which only the entry in the endpoint list is known.
     fn new(info: EndpointInfo, class_count: usize) -> Endpoint {
         Endpoint {
             info,
@@ -39,35 +40,38 @@
         }
     }
 
-    /// The latency ratio; 1 after a time without attempts, so that a slow endpoint is tried again.
+    /// Returns the latency ratio; 1 after [`DECAY_TIME_US`] without attempts, so that a slow endpoint is
+    /// tried again.
     pub(super) fn latency_ratio_at(&self, now: Timestamp) -> f64 {
         if now.micros_since(self.last_sent) < DECAY_TIME_US { self.latency_ratio.0 } else { 1.0 }
     }
 }
 
-/// All endpoints, in the order of their ids.
+/// All known endpoints.
 #[derive(Default)]
 pub(super) struct EndpointTable {
+    /// Sorted by id.
     pub(super) endpoints: Vec<Endpoint>,
-    /// Indices of those that take new requests.
+    /// Indices of the endpoints that take new requests.
     pub(super) ready: Vec<usize>,
     pub(super) maintenance: Maintenance,
-    /// The largest weight seen of each machine type: that of an idle machine.
+    /// Largest weight seen for each machine type, which is the weight of an idle machine.
     machine_type_sizes: BTreeMap<u8, f64>,
 }
 
 impl EndpointTable {
-    /// The index of an endpoint, or where it would be inserted.
+    /// Returns the index of an endpoint, or the index at which it would be inserted as the error.
     pub(super) fn find(&self, id: EndpointId) -> Result<usize, usize> {
         self.endpoints.binary_search_by_key(&id, |endpoint| endpoint.info.id)
     }
 
-    /// The endpoint of this id, if it is known.
+    /// Returns the endpoint with this id, if it is known.
     pub(super) fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
         self.find(id).ok().map(|i| &mut self.endpoints[i])
     }
 
-    /// Takes in a list, complete or of changes; returns whether any endpoint came, went or changed its state.
+    /// Applies a snapshot (`complete`) or a delta of the endpoint list. Returns whether any endpoint was
+    /// added, was removed or changed its state.
     pub(super) fn update(&mut self, list: Vec<EndpointInfo>, complete: bool, class_count: usize) -> bool {
         let states = |of: &[Endpoint]| of.iter().map(|e| (e.info.id, e.info.state)).collect::<Vec<_>>();
         let before = states(&self.endpoints);
@@ -82,7 +86,7 @@
                 Ok(i) if self.endpoints[i].info.started_at == info.started_at => {
                     self.endpoints[i].info = info;
                 }
-                // A restarted endpoint keeps its id, but nothing learned of it holds any more.
+                // A restarted endpoint keeps its id, but what was learned about it is no longer valid.
                 Ok(i) => self.reset_learned_state(i, info, class_count),
             }
         }
@@ -91,14 +95,14 @@
         states(&self.endpoints) != before
     }
 
-    /// Keeps of an endpoint only what holds after its restart too.
+    /// Resets what was learned about an endpoint, and keeps only what is still valid after its restart.
     pub(super) fn reset_learned_state(&mut self, i: usize, info: EndpointInfo, class_count: usize) {
         let Endpoint { relative_size, selection_weight, in_flight, .. } = self.endpoints[i];
         let fresh = Endpoint::new(info, class_count);
         self.endpoints[i] = Endpoint { relative_size, selection_weight, in_flight, ..fresh };
     }
 
-    /// Finds out anew which endpoints are ready, and their sizes.
+    /// Recomputes which endpoints are ready, and their relative sizes.
     pub(super) fn refresh_ready(&mut self, settings: &Settings) {
         let is_ready = |i: &usize| {
             let info = &self.endpoints[*i].info;
@@ -112,9 +116,9 @@
         }
     }
 
-    /// The size that lists state. A weight that falls with load is old, and the same at all nodes: by it all
-    /// of them would crowd what was idle a while ago. There the largest weight seen of the machine type is
-    /// the size.
+    /// Returns the size of an endpoint according to the endpoint list: its weight, or the largest weight seen
+    /// for its machine type if weights depend on load. Load-dependent weights are outdated and the same at
+    /// all nodes: selecting by them, all nodes would overload the endpoints that were idle some time ago.
     fn listed_size(&self, i: usize, settings: &Settings) -> f64 {
         let info = &self.endpoints[i].info;
         match self.machine_type_sizes.get(&info.machine_type) {
@@ -123,8 +127,14 @@
         }
     }
 
-    /// The part of its capacity that an endpoint surely has: it grows evenly from `slow_start_from` at its
-    /// start to 1 at the end of `slow_start_window`.
+    /// Returns the fraction of its capacity that an endpoint has for certain. It grows linearly from
+    /// `slow_start_from` at the endpoint's start to 1 at the end of `slow_start_window`.
+    ///
+    /// ```text
+    /// slow start factor = slow_start_from + (1 - slow_start_from) * min(age / slow_start_window, 1)
+    ///
+    /// age   time since the endpoint's start, in microseconds
+    /// ```
     pub(super) fn slow_start_factor(&self, i: usize, now: Timestamp, settings: &Settings) -> f64 {
         let started_at = self.maintenance.started_at(&self.endpoints[i].info);
         let long_ago = started_at == Timestamp::default();
@@ -133,7 +143,8 @@
         settings.slow_start_from + (1.0 - settings.slow_start_from) * warmed_up
     }
 
-    /// Counts a failure at an endpoint, and what is normal among these peers, by default the ready endpoints.
+    /// Counts a failure at an endpoint, updates the baseline of its peers, which are the ready endpoints by
+    /// default, and ejects the endpoint.
     pub(super) fn record_failure(
         &mut self,
         i: usize,
--- a/src/balancer/maintenance.rs
+++ b/src/balancer/maintenance.rs
@@ -1,30 +1,31 @@
-//! What operators have done to endpoints, whether listed or not: taken out of use, put back.
+//! Maintenance of endpoints, which operators start and end, also for endpoints that are not listed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use super::interface::{EndpointId, EndpointInfo, Timestamp};
 
-/// An endpoint's return from maintenance.
+/// The end of an endpoint's maintenance.
 struct MaintenanceExit {
     exited_at: Timestamp,
-    /// It was in use before and was sent nothing since: with little traffic, chance might pass it over for
-    /// long.
+    /// Whether the endpoint was in use before its maintenance and has not been sent an attempt since. With
+    /// little traffic, random selection might not choose it for a long time.
     probe_pending: bool,
 }
 
-/// Maintenance of endpoints, as operators ordered it.
+/// Maintenance state of endpoints as set by operators.
 #[derive(Default)]
 pub(super) struct Maintenance {
-    /// Endpoints that are out of use.
+    /// Endpoints under maintenance.
     pub(super) in_maintenance: BTreeSet<EndpointId>,
-    /// Those of them that were in use when it began.
+    /// Endpoints under maintenance that were in use when it started.
     were_in_use: BTreeSet<EndpointId>,
+    /// The last end of maintenance by endpoint.
     exits: BTreeMap<EndpointId, MaintenanceExit>,
 }
 
 impl Maintenance {
-    /// Takes an endpoint out of use; false if it was already.
+    /// Puts an endpoint under maintenance; returns `false` if it already was.
     pub(super) fn enter(&mut self, id: EndpointId, in_use: bool) -> bool {
         if !self.in_maintenance.insert(id) {
             return false;
@@ -35,7 +36,8 @@
         true
     }
 
-    /// Puts an endpoint back as of `at`; forgets returns that are older than the slow start.
+    /// Ends the maintenance of an endpoint as of `at`. Removes records of maintenance that ended longer ago
+    /// than the slow start, except for endpoints with a pending probe.
     pub(super) fn exit(&mut self, id: EndpointId, at: Timestamp, now: Timestamp, slow_start: Duration) {
         self.in_maintenance.remove(&id);
         self.exits.retain(|_, exit| exit.probe_pending || exit.exited_at + slow_start > now);
@@ -43,22 +45,24 @@
         self.exits.insert(id, MaintenanceExit { exited_at: at.min(now), probe_pending });
     }
 
-    /// When an endpoint last started. A return counts as a start: discovery may not know of it yet.
+    /// Returns when an endpoint last started. The end of maintenance counts as a start, since discovery may
+    /// not report the start yet.
     pub(super) fn started_at(&self, info: &EndpointInfo) -> Timestamp {
         self.exits.get(&info.id).map_or(info.started_at, |exit| exit.exited_at.max(info.started_at))
     }
 
-    /// Whether an endpoint is owed one request soon, to show that it is in use again.
+    /// Whether an endpoint still has to be sent one request soon, to show that it is in use again.
     pub(super) fn probe_pending(&self, id: EndpointId) -> bool {
         self.exits.get(&id).is_some_and(|exit| exit.probe_pending)
     }
 
-    /// Something is being sent to the endpoint.
+    /// Records that an attempt is sent to the endpoint, which no longer needs a probe.
     pub(super) fn mark_probed(&mut self, id: EndpointId) {
         self.exits.get_mut(&id).into_iter().for_each(|exit| exit.probe_pending = false);
     }
 
-    /// Whether what was sent at this time tells of the endpoint as it was before its return.
+    /// Whether an attempt sent at this time only tells about the endpoint as it was before the end of its
+    /// maintenance.
     pub(super) fn was_sent_before_exit(&self, id: EndpointId, sent_at: Timestamp) -> bool {
         self.exits.get(&id).is_some_and(|exit| sent_at < exit.exited_at)
     }
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, by discovery or by operators, and when to poll discovery again.
+//! Changes of the endpoint list by discovery or by operators, and the time of the next poll of discovery.
 
 use std::time::Duration;
 
@@ -7,23 +7,24 @@
     Action, DiscoveryMode, EndpointId, EndpointInfo, TimerToken, Timestamp, whole_micros,
 };
 
-/// The longest wait after a first failed poll; it doubles with each further one.
+/// Maximum backoff after the first failed poll. It doubles with each further failure.
 const POLL_BACKOFF: Duration = Duration::from_secs(1);
-/// After so many doublings the wait grows no more.
+/// Maximum number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 impl Balancer {
-    /// Takes in a list, complete or of changes.
+    /// Applies a snapshot (`complete`) or a delta of the endpoint list.
     pub(super) fn update_endpoints(&mut self, list: Vec<EndpointInfo>, complete: bool) {
         self.failed_polls = 0;
-        // Weights that follow load come twice a second: new pools for each would take a node's CPU.
+        // Load-dependent weights change twice per second: rebuilding the pools for each change would use up a
+        // node's CPU time.
         if self.table.update(list, complete, self.settings.classes.len()) {
             self.rebuild_pools();
         }
         self.dispatch();
     }
 
-    /// Takes an endpoint out of use, whatever lists say.
+    /// Puts an endpoint under maintenance, whatever discovery reports.
     pub(super) fn enter_maintenance(&mut self, id: EndpointId) {
         let in_use = self.table.get_mut(id).is_some_and(|e| e.last_sent > Timestamp::default());
         if self.table.maintenance.enter(id, in_use) {
@@ -32,8 +33,8 @@
         }
     }
 
-    /// Puts an endpoint back as of `at`, some time ago if another process of the node was notified: it is
-    /// warming up, and nothing learned of it holds any more.
+    /// Ends the maintenance of an endpoint as of `at`, which lies in the past if another process of the node
+    /// was notified. The endpoint goes through slow start, and what was learned about it is reset.
     pub(super) fn exit_maintenance(&mut self, id: EndpointId, at: Timestamp) {
         self.table.maintenance.exit(id, at, self.now, self.settings.slow_start_window);
         if let Ok(i) = self.table.find(id) {
@@ -43,16 +44,23 @@
         self.dispatch();
     }
 
-    /// Asks for changes of the list where they don't come by themselves.
+    /// Subscribes to deltas of the endpoint list unless discovery pushes them.
     pub(super) fn poll_discovery(&mut self) {
         if self.settings.discovery != DiscoveryMode::Push {
             self.actions.push(Action::Subscribe);
         }
     }
 
-    /// Polls again after a wait of at most half of the longest time that the settings allow without a poll.
-    /// The wait is drawn from the upper half of its range, so that nodes which failed together do not poll
-    /// together.
+    /// Schedules another poll with exponential backoff. The backoff is at most half of the longest time that
+    /// the settings allow without a poll. It is drawn at random from the upper half of its range, so that
+    /// nodes whose polls failed at the same time do not poll again at the same time.
+    ///
+    /// ```text
+    /// limit   = min(POLL_BACKOFF * 2 ^ min(failed polls, MAX_BACKOFF_DOUBLINGS), interval / 2)
+    /// backoff = random in [limit / 2, limit)
+    ///
+    /// interval   longest time without a poll
+    /// ```
     pub(super) fn retry_discovery(&mut self) {
         let DiscoveryMode::Poll { interval } = self.settings.discovery else { return };
         let backoff_us = whole_micros(POLL_BACKOFF) << self.failed_polls.min(MAX_BACKOFF_DOUBLINGS);
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -1,24 +1,25 @@
-//! Outlier detection: an endpoint that fails more than its peers is ejected for a while.
+//! Outlier detection: an endpoint that fails more often than its peers is ejected for a limited time.
 
 use super::decay::DecayingCounter;
 use super::interface::{Timestamp, duration_from_micros_f64};
 
-/// Ejection time for each excess failure, in microseconds: an endpoint that goes on failing is ejected for
+/// Ejection time for each excess failure, in microseconds. An endpoint that continues to fail is ejected for
 /// longer each time.
 const EJECTION_PER_FAILURE_US: f64 = 100_000.0;
 
-/// What a failure tells of the endpoint.
+/// Kind of a failure, by the requests that it is expected to affect.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum FailureKind {
-    /// An error response: it may be about its class alone.
+    /// An error response to a request of this class: it may affect this class alone.
     ClassError(usize),
-    /// A break, a rejection or silence: whatever the request was.
+    /// A connection that failed or broke, a rejection or a timeout: it may affect requests of any class.
     AnyClass,
 }
 
 impl FailureKind {
-    /// What counts as normal among peers with these counts: the mean. Of errors it is the lower quartile, as
-    /// most peers may err on one class while the others serve it.
+    /// Returns the number of failures that is normal among peers with these counts: the mean of the counts.
+    /// For errors of a class it is the lower quartile, as most peers may return errors for one class while
+    /// the others serve it.
     pub(super) fn baseline(self, mut counts: Vec<f64>) -> f64 {
         counts.sort_by(f64::total_cmp);
         match self {
@@ -28,35 +29,44 @@
     }
 }
 
-/// Failures of one kind at one endpoint.
+/// Counts of the failures of one kind at one endpoint, and the ejection for them.
 #[derive(Clone, Copy, Default)]
 pub(super) struct OutlierDetector {
-    /// Its recent failures, decaying.
+    /// Recent failures, decaying.
     pub(super) recent: DecayingCounter,
-    /// How many of them are normal among its peers.
+    /// Number of recent failures that is normal among the endpoint's peers, decaying.
     pub(super) baseline: DecayingCounter,
     ejected_until: Timestamp,
 }
 
 impl OutlierDetector {
-    /// Recent failures beyond the baseline: what happens to all peers alike tells nothing of one.
+    /// Returns the number of recent failures beyond the baseline. Failures that all peers have alike say
+    /// nothing about one endpoint.
+    ///
+    /// ```text
+    /// excess failures = max(recent - baseline, 0)
+    /// ```
     fn excess_failures(&self, now: Timestamp) -> f64 {
         (self.recent.value_at(now) - self.baseline.value_at(now)).max(0.0)
     }
 
-    /// Ejects the endpoint for as long as its excess failures warrant; then it is tried again.
+    /// Ejects the endpoint for a time in proportion to its excess failures. Afterwards, it is tried again.
+    ///
+    /// ```text
+    /// ejection time = excess failures * EJECTION_PER_FAILURE_US
+    /// ```
     pub(super) fn eject(&mut self, now: Timestamp) {
         let ejection_us = self.excess_failures(now) * EJECTION_PER_FAILURE_US;
         self.ejected_until = now + duration_from_micros_f64(ejection_us);
     }
 }
 
-/// All failures of one endpoint.
+/// Failures of all kinds at one endpoint.
 #[derive(Default)]
 pub(super) struct EndpointOutliers {
-    /// Failures that may befall any request.
+    /// Failures that may affect requests of any class.
     any_class: OutlierDetector,
-    /// Errors by class: an endpoint that errs on one may serve the others well.
+    /// Errors by class: an endpoint that returns errors for one class may serve the others well.
     class_errors: Vec<OutlierDetector>,
 }
 
@@ -68,7 +78,7 @@
         }
     }
 
-    /// The detector that counts failures of a kind.
+    /// Returns the detector that counts failures of a kind.
     pub(super) fn detector(&mut self, kind: FailureKind) -> &mut OutlierDetector {
         match kind {
             FailureKind::ClassError(class) => &mut self.class_errors[class],
@@ -76,7 +86,7 @@
         }
     }
 
-    /// Recent failures that a request of this class has to expect.
+    /// Returns the number of recent excess failures that may affect a request of this class.
     pub(super) fn excess_failures(&self, class: usize, now: Timestamp) -> f64 {
         self.any_class.excess_failures(now) + self.class_errors[class].excess_failures(now)
     }
@@ -86,7 +96,7 @@
         self.any_class.ejected_until > now
     }
 
-    /// Whether the endpoint is ejected for its errors on this class.
+    /// Whether the endpoint is ejected for this class because of its errors.
     pub(super) fn is_ejected_for_class(&self, class: usize, now: Timestamp) -> bool {
         self.class_errors[class].ejected_until > now
     }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,4 +1,5 @@
-//! Selection of an endpoint: of two random ones that fit, the one with less load per capacity.
+//! Endpoint selection by the power of two choices: of two randomly sampled eligible endpoints, the one with
+//! the lower load per capacity is selected.
 
 use super::Balancer;
 use super::hash::unit_hash;
@@ -7,7 +8,7 @@
 use super::retry::may_send;
 
 impl Balancer {
-    /// Selects an endpoint of a pool for a request.
+    /// Selects an endpoint of a pool for a request; `None` if no endpoint is eligible.
     pub(super) fn select_endpoint(&mut self, id: RequestId, pool: usize) -> Option<usize> {
         let random = self.random.u64(..);
         let request = &self.requests[&id];
@@ -15,15 +16,17 @@
         if let Some(probed) = eligible.iter().copied().find(|i| self.probe_pending(*i)) {
             return Some(probed);
         }
-        // Where endpoints serve keys better that they met lately, the key draws in place of chance.
+        // With key affinity, endpoints serve keys better that they have served recently: the key instead of a
+        // random number seeds the sampling, so that requests with the same key get the same candidates.
         let seed = request.affinity_key.filter(|_| self.settings.key_affinity).unwrap_or(random);
         let candidates = self.sample_two(eligible, seed).into_iter();
         let loads = candidates.map(|i| (self.load(i, request.entry.class), i));
         loads.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, least_loaded)| least_loaded)
     }
 
-    /// The endpoints of a pool that may be sent a request and have capacity. A pool whose members all err on
-    /// the request's class counts as empty for it.
+    /// Returns the endpoints of a pool that a request may be sent to and that have capacity for it. If all
+    /// members of the pool are ejected for the request's class, the pool counts as empty for the request, and
+    /// all ready endpoints are considered instead.
     fn eligible_endpoints(&self, request: &ActiveRequest, pool: usize) -> Vec<usize> {
         let is_class_ejected =
             |i: &usize| self.table.endpoints[*i].outliers.is_ejected_for_class(request.entry.class, self.now);
@@ -34,24 +37,27 @@
         } else {
             &self.table.ready
         };
-        // Where most are ejected, the few others would be crowded: then none counts as ejected.
+        // Ejections are ignored if more than half of the members are ejected: the few others would be
+        // overloaded.
         let is_ejected = |i: &usize| self.table.endpoints[*i].outliers.is_ejected(self.now);
         let apply_ejections = members.iter().filter(|i| is_ejected(i)).count() * 2 <= members.len();
         let can_select = |i: &usize| self.is_eligible(*i, request) && !(apply_ejections && is_ejected(i));
         let mut eligible: Vec<usize> = members.iter().copied().filter(can_select).collect();
-        // A retry may be tied to endpoints that all err.
+        // The idempotency scope may restrict a retry to endpoints that are all ejected for the class; the
+        // retry may be sent to these.
         let ignore_class_ejections =
             all_class_ejected || !request.attempts.is_empty() && eligible.iter().all(is_class_ejected);
         eligible.retain(|i| ignore_class_ejections || !is_class_ejected(i));
         eligible
     }
 
-    /// Whether an endpoint may be sent a request and has capacity for it.
+    /// Whether a request may be sent to an endpoint and the endpoint has capacity for it.
     fn is_eligible(&self, i: usize, request: &ActiveRequest) -> bool {
         let endpoint = &self.table.endpoints[i];
         let id = endpoint.info.id;
-        // One that is warming up is in reach of few of all nodes' requests, half of what it bears: one
-        // attempt from each node, or all that its neighbours can't take, would overload it.
+        // During slow start, an endpoint is eligible for only a fraction of the requests of all nodes, half
+        // of the load at which it fails. One attempt from each node, or all requests that spill over from its
+        // neighbours on the ring, would overload it.
         let slow_start = self.table.slow_start_factor(i, self.now, &self.settings);
         let eligible_fraction = slow_start * (self.settings.overload_multiple / 2.0).max(1.0);
         (endpoint.in_flight == 0 || f64::from(endpoint.in_flight) < self.capacity(i).ceil())
@@ -62,9 +68,20 @@
             && may_send(&self.settings, request, &endpoint.info, self.now)
     }
 
-    /// Draws two endpoints, each as likely as it has capacity: most nodes have nothing in flight at either,
-    /// and the comparison of loads alone would send nearly all to the largest. Weighted rendezvous hashing:
-    /// the two least of `-ln(unit_hash) * latency_ratio / selection_weight`.
+    /// Samples two endpoints, each with a probability in proportion to its capacity. Most nodes have no
+    /// attempt in flight at either endpoint, and the comparison of loads alone would send nearly all requests
+    /// to the largest endpoint.
+    ///
+    /// The sample is taken by weighted rendezvous hashing: it consists of the two endpoints with the lowest
+    /// scores.
+    ///
+    /// ```text
+    /// score = -ln(unit_hash) * latency_ratio / selection_weight
+    ///
+    /// unit_hash          hash of the seed with the endpoint's id as the salt, from 0 to 1
+    /// latency_ratio      median latency of the endpoint relative to that of all endpoints
+    /// selection_weight   weight of the endpoint in this node's subset
+    /// ```
     fn sample_two(&self, eligible: Vec<usize>, seed: u64) -> Vec<usize> {
         let score = |i: usize| {
             let endpoint = &self.table.endpoints[i];
@@ -78,19 +95,28 @@
         ranked.into_iter().take(2).map(|(_, i)| i).collect()
     }
 
-    /// Whether an endpoint is owed one request after its return from maintenance.
+    /// Whether an endpoint has not been sent the one request that it gets soon after maintenance.
     fn probe_pending(&self, i: usize) -> bool {
         self.table.maintenance.probe_pending(self.table.endpoints[i].info.id)
     }
 
-    /// A pool's members; for an empty pool all ready endpoints.
+    /// Returns the members of a pool, or all ready endpoints if the pool is empty.
     pub(super) fn members(&self, pool: usize) -> &[usize] {
         let members = self.pools.get(pool).map(|pool| &pool.members[..]);
         members.filter(|members| !members.is_empty()).unwrap_or(&self.table.ready)
     }
 
-    /// Attempts that this node may have in flight at an endpoint: its part of the limit, by the endpoint's
-    /// size, slow start and speed. `limit / node_count * relative size * slow start / latency ratio`.
+    /// Returns the number of attempts that this node may have in flight at an endpoint: the node's share of
+    /// the concurrency limit, scaled by the endpoint's size, slow start and speed.
+    ///
+    /// ```text
+    /// capacity = limit / node_count * relative size * slow start / latency ratio
+    ///
+    /// limit           concurrency limit of an endpoint of mean size over all nodes, in attempts
+    /// relative size   size of the endpoint relative to the mean of the ready endpoints
+    /// slow start      fraction of its capacity that the endpoint has during slow start, else 1
+    /// latency ratio   median latency of the endpoint relative to that of all endpoints
+    /// ```
     fn capacity(&self, i: usize) -> f64 {
         let endpoint = &self.table.endpoints[i];
         let slow_start = self.table.slow_start_factor(i, self.now, &self.settings);
@@ -98,9 +124,14 @@
         share * slow_start / endpoint.latency_ratio_at(self.now)
     }
 
-    /// Whether less than this part of a pool's capacity is filled. One attempt always fits, and at a node
-    /// that sees little of the load one for each endpoint of its subset: its part of a limit that is not
-    /// learned yet would be none.
+    /// Whether less than this fraction of a pool's capacity is in use. Some attempts are always allowed:
+    ///
+    /// ```text
+    /// always allowed = max(subset size * (1 - local load visibility), 1)
+    /// ```
+    ///
+    /// A node whose own counts show little of the load may thus have one attempt in flight for each endpoint
+    /// of its subset. Its share of a concurrency limit that has not been learned yet would allow none.
     pub(super) fn has_capacity(&self, pool: usize, fraction: f64) -> bool {
         let members = self.members(pool);
         let in_flight = f64::from(members.iter().map(|i| self.table.endpoints[*i].in_flight).sum::<u32>());
@@ -111,10 +142,21 @@
             || in_flight < fraction * members.iter().map(|i| self.capacity(*i)).sum::<f64>()
     }
 
-    /// Load per capacity: `(in flight + own + excess failures) / capacity`. Failures count, as an endpoint
-    /// that errs quickly has little in flight and would win every comparison. The request itself counts
-    /// (`own`) where a node sees the load; elsewhere, with nothing in flight anywhere, it would send nearly
-    /// all to the largest.
+    /// Returns the load per capacity of an endpoint for a request of a class.
+    ///
+    /// ```text
+    /// load = (in flight + own + excess failures) / capacity
+    ///
+    /// in flight         attempts of this node that the endpoint is executing
+    /// own               1 for the request itself if this node's own counts show all of the load, else 0
+    /// excess failures   recent failures of the endpoint beyond what is normal among its peers
+    /// capacity          number of attempts that this node may have in flight at the endpoint
+    /// ```
+    ///
+    /// Failures are included because an endpoint that fails quickly has few attempts in flight and would win
+    /// every comparison. The request itself is included only where the node's own counts show all of the
+    /// load: other nodes often have no attempt in flight anywhere, and would send nearly all requests to the
+    /// largest endpoint.
     fn load(&self, i: usize, class: usize) -> f64 {
         let endpoint = &self.table.endpoints[i];
         let own = f64::from(u8::from(self.concurrency.is_load_fully_visible()));
--- a/src/balancer/subsets.rs
+++ b/src/balancer/subsets.rs
@@ -1,9 +1,10 @@
 //! Labels, pools and subsets: which endpoints a tenant's requests go to, and which of these this node
 //! prefers.
 //!
-//! Tenants are hashed to a few labels, each with a pool of its own, so that one tenant's trouble leaves
-//! others alone. Of many nodes each prefers a subset of a pool (deterministic subsetting): it meets those
-//! endpoints often enough for its own counts to tell of them, and for connections to last.
+//! Tenants are hashed to a few labels, each with its own pool, which isolates the tenants of one label from
+//! problems that those of another cause. If there are many nodes, each prefers a subset of a pool
+//! (deterministic subsetting). It sends requests to these endpoints often enough for its own counts to
+//! reflect their state, and for connections to be reused.
 
 use std::cmp::Reverse;
 
@@ -11,57 +12,71 @@
 use super::hash::hash;
 use super::interface::{Settings, Tenant};
 
-/// Labels that tenants are hashed to; few, so that pools keep capacity.
+/// Number of labels that tenants are hashed to. It is small so that each pool has enough capacity.
 pub(super) const LABEL_COUNT: usize = 2;
-/// Salts that are tried for the hash of tenants to labels.
+/// Number of salts that are tried for the hash of tenants to labels.
 const LABEL_SALT_COUNT: u64 = 64;
-/// The least endpoints in a label's pool while there are enough.
+/// Minimum number of endpoints in a label's pool if there are enough endpoints.
 const MIN_POOL_SIZE: usize = 4;
-/// How many nodes' subsets an endpoint of mean size is in.
+/// Number of nodes whose subsets contain an endpoint of mean size.
 const NODES_PER_ENDPOINT: f64 = 6.0;
-/// The golden ratio's fraction: its multiples are spread evenly over the ring however many there are.
+/// Fractional part of the golden ratio. Its multiples are evenly spread over the ring, whatever their number.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
-/// What a subset can't take goes to so many subsets' lengths behind it on the ring, then to as many behind
-/// those.
+/// Length of a spillover step, in subset lengths. Requests that a subset has no capacity for spill over to
+/// the endpoints of the first step after the subset on the ring, then to those of the next step, and so on.
 const SUBSETS_PER_SPILLOVER_STEP: f64 = 4.0;
-/// The factor of the selection weight with each of these steps.
+/// Factor that is applied to the selection weight for each spillover step.
 const SPILLOVER_WEIGHT_FACTOR: f64 = 1e-3;
-/// The most steps that count: far out the order does not matter, but a weight must not vanish.
+/// Maximum number of spillover steps that reduce a weight. The order of the endpoints beyond them does not
+/// matter, but a weight must not become 0.
 const MAX_SPILLOVER_STEPS: f64 = 60.0;
 
-/// The endpoints of one label, or those without.
+/// The endpoints of one label, or those without a label.
 pub(super) struct Pool {
     /// Indices in the endpoint table.
     pub(super) members: Vec<usize>,
-    /// Endpoints in this node's subset.
+    /// Number of endpoints in this node's subset.
     pub(super) subset_size: f64,
 }
 
-/// The label of a tenant.
+/// Returns the label of a tenant.
 fn tenant_label(tenant: u64, salt: u64) -> usize {
     (hash(tenant, salt) % LABEL_COUNT as u64) as usize
 }
 
-/// The part of the service that the tenants of a label have a right to.
+/// Returns the share of the service that the tenants of a label are entitled to.
 fn service_share(tenants: &[Tenant], label: usize, salt: u64) -> f64 {
     let of_label = tenants.iter().enumerate().filter(|(i, _)| tenant_label(*i as u64, salt) == label);
     of_label.map(|(_, tenant)| tenant.service_share).sum()
 }
 
-/// Of a few salts, the one that spreads the tenants' parts of the service most evenly over the labels.
+/// Chooses the salt that spreads the tenants' shares of the service most evenly over the labels: the one with
+/// the smallest share of the largest label.
 pub(super) fn choose_label_salt(tenants: &[Tenant]) -> u64 {
     let largest = |salt: &u64| (0..LABEL_COUNT).map(|l| service_share(tenants, l, *salt)).fold(0.0, f64::max);
     (0..LABEL_SALT_COUNT).min_by(|a, b| largest(a).total_cmp(&largest(b))).unwrap_or(0)
 }
 
-/// The pool of a tenant's requests; without a tenant that of the unlabelled endpoints.
+/// Returns the index of the pool for a tenant's requests; without a tenant, that of the unlabelled endpoints.
 pub(super) fn pool_of(tenant: Option<u32>, salt: u64) -> usize {
     tenant.map_or(LABEL_COUNT, |tenant| tenant_label(tenant.into(), salt))
 }
 
-/// Builds the pools of all labels and, last, that of the unlabelled endpoints. Each label in turn takes the
-/// ready endpoints that rank highest for it (rendezvous hashing: a change of the list moves few). Its pool's
-/// size follows its tenants' part of the service, and what no tenant has a part of stays unlabelled.
+/// Builds the pools of all labels and, as the last one, that of the unlabelled endpoints.
+///
+/// Each label in turn gets the remaining ready endpoints that rank highest for it by rendezvous hashing, so
+/// that a change of the endpoint list moves few endpoints. The size of its pool follows its tenants' share of
+/// the service:
+///
+/// ```text
+/// target size = round(ready endpoints * min(total share, 1)) - assigned endpoints
+///
+/// total share          share of the service of this label's and all earlier labels' tenants
+/// assigned endpoints   endpoints in the pools of earlier labels
+/// ```
+///
+/// A pool has at least [`MIN_POOL_SIZE`] endpoints while enough are left. Endpoints beyond the shares of all
+/// tenants stay unlabelled.
 pub(super) fn build_pools(table: &mut EndpointTable, settings: &Settings, salt: u64) -> Vec<Pool> {
     table.refresh_ready(settings);
     let ready = table.ready.len();
@@ -82,9 +97,26 @@
     pools.into_iter().map(|members| assign_subset(members, table, settings)).collect()
 }
 
-/// Cuts this node's subset of a pool. The members lie on a ring by size, and the nodes' subsets, equal arcs
-/// of it, start at even distances, whichever nodes are up: each endpoint gets its part of the work from the
-/// subsets that overlap it. What goes elsewhere goes to the same few again, on connections that exist.
+/// Assigns this node's subset of a pool by setting the selection weights of the pool's members.
+///
+/// Each member occupies an arc of a ring, as long as its relative size. The nodes' subsets are arcs of equal
+/// length that start at evenly spread positions, whichever nodes are up, so that each endpoint gets its share
+/// of the work from the subsets that overlap it. Requests beyond the subset spill over to the same few
+/// endpoints each time, on connections that are already open.
+///
+/// ```text
+/// subset fraction  = min(NODES_PER_ENDPOINT / node count, 1)
+/// subset           = from start to start + subset fraction * ring length
+/// start            = fractional part of (node index * GOLDEN_RATIO_FRACTION) * ring length
+/// spillover steps  = floor(distance / (subset fraction * ring length * SUBSETS_PER_SPILLOVER_STEP))
+/// spillover        = relative size
+///                    * SPILLOVER_WEIGHT_FACTOR ^ (1 + min(spillover steps, MAX_SPILLOVER_STEPS))
+/// selection weight = max(overlap, spillover)
+///
+/// ring length   sum of the members' relative sizes
+/// distance      distance along the ring from the end of the subset to the start of the member's arc
+/// overlap       length of the member's arc that lies in the subset
+/// ```
 fn assign_subset(members: Vec<usize>, table: &mut EndpointTable, settings: &Settings) -> Pool {
     let ring_length: f64 = members.iter().map(|i| table.endpoints[*i].relative_size).sum();
     let subset_fraction = (NODES_PER_ENDPOINT / f64::from(settings.node_count)).min(1.0);
--- a/tests/balancer/admission.rs
+++ b/tests/balancer/admission.rs
@@ -7,10 +7,10 @@
 use crate::support::*;
 
 #[test]
-fn work_within_quota_goes_before_work_beyond_it() {
-    let mut tight = settings();
-    tight.tenants = vec![Tenant { quota_per_second: 20.0, service_share: 1.0 }];
-    let mut node = TestNode::new(tight, endpoints(1..5));
+fn dispatches_requests_within_quota_before_requests_beyond_it() {
+    let mut limited = settings();
+    limited.tenants = vec![Tenant { quota_per_second: 20.0, service_share: 1.0 }];
+    let mut node = TestNode::new(limited, endpoints(1..5));
     let mut sent: Vec<RequestId> = Vec::new();
     let record = |actions: &[Action], sent: &mut Vec<RequestId>| {
         sent.extend(actions.iter().filter_map(|a| match a {
@@ -30,16 +30,17 @@
     }
     let position = |id| sent.iter().position(|s| *s == id);
     let over_quota = sent.iter().position(|id| (11..=30).contains(id));
-    assert!(position(late).is_some() && over_quota.is_some(), "spare capacity goes to work beyond the quota");
+    assert!(position(late).is_some() && over_quota.is_some(), "requests beyond the quota use spare capacity");
     assert!(position(late) < over_quota, "{sent:?}");
 }
 
-/// Retries of rejected over-quota work return into the same overload; work within quota may return at once.
+/// Retries of rejected requests beyond the quota would return into the same overload, so they get a
+/// Retry-After. Requests within the quota may be retried at once.
 #[test]
-fn only_rejected_over_quota_work_gets_retry_advice() {
-    let mut tight = Settings { max_retry_after: 2 * S, ..settings() };
-    tight.tenants = vec![Tenant { quota_per_second: 4.0, service_share: 1.0 }];
-    let mut node = TestNode::new(tight, endpoints(1..5));
+fn only_rejected_over_quota_requests_get_retry_after() {
+    let mut limited = Settings { max_retry_after: 2 * S, ..settings() };
+    limited.tenants = vec![Tenant { quota_per_second: 4.0, service_share: 1.0 }];
+    let mut node = TestNode::new(limited, endpoints(1..5));
     (0..20).for_each(|_| drop(node.arrive(IDEMPOTENT, Some(0))));
     let retry_after = |actions: &[Action], id| {
         actions.iter().find_map(|a| match a {
@@ -53,50 +54,52 @@
     assert_eq!(retry_after(&node.handle(Event::TimerFired(TimerToken::Request(1))), 1), Some(Duration::ZERO));
 }
 
-/// Queued to the last moment at which half of the responses still came in time, the other half was late and
-/// had taken capacity from work that could be in time: in overload a fifth of all responses.
+/// Requests were queued until the last moment at which half of the responses would still be in time. The
+/// other half was late, in overload a fifth of all responses, and used capacity that was needed for
+/// requests that could still be in time.
 #[test]
-fn queued_work_is_rejected_while_its_response_might_just_be_in_time() {
+fn rejects_a_queued_request_before_half_of_the_responses_would_be_late() {
     let classes = vec![RequestClass { late_weight: 0.0, ..class(Idempotency::Idempotent) }];
     let mut node = TestNode::new(Settings { classes, ..settings() }, endpoints(1..9));
     let arrivals = (0..100).map(|_| node.arrive(IDEMPOTENT, Some(0)));
     let id = arrivals.collect::<Vec<_>>().iter().find(|(id, a)| sends(a, *id).is_empty()).unwrap().0;
-    // A quarter of the objective is the first guess at the median: half of the objectives are met if sent at
-    // 225 ms.
+    // The initial guess of the median is a quarter of the objective, 75 ms: if sent at 225 ms, half of the
+    // requests meet the objective of 300 ms.
     assert!(!rejected(&node.fire_timer(id, 180 * MS), id));
     assert!(rejected(&node.fire_timer(id, 10 * MS), id));
 }
 
-/// A rejection late in a request's time, with nothing ever sent for it, leaves its client no time for
-/// anything.
+/// If a request that was never sent is rejected shortly before its deadline, its client has no time left to
+/// do anything else.
 #[test]
-fn what_was_never_sent_is_rejected_within_half_of_its_time_with_retry_advice() {
-    let has_advice =
+fn rejects_a_never_sent_request_within_half_of_its_time_with_retry_after() {
+    let has_retry_after =
         |actions: &[Action], id| actions.contains(&Action::Reject { request: id, retry_after: 2 * S });
-    let queued = |node: &mut TestNode| {
+    let queue_one = |node: &mut TestNode| {
         let arrivals: Vec<_> = (0..100).map(|_| node.arrive(IDEMPOTENT, Some(0))).collect();
         arrivals.iter().rev().find(|(id, a)| sends(a, *id).is_empty() && !rejected(a, *id)).unwrap().0
     };
     let mut node = TestNode::new(Settings { max_retry_after: 2 * S, ..settings() }, endpoints(1..9));
-    let id = queued(&mut node);
-    // It may still be in time; then it is too late for its objective, but not yet for its client.
+    let id = queue_one(&mut node);
+    // At 200 ms, the response may still be in time. At 300 ms, it is too late for the latency objective, but
+    // not yet for the client.
     assert!(!rejected(&node.fire_timer(id, 200 * MS), id));
     assert!(!rejected(&node.fire_timer(id, 100 * MS), id));
-    assert!(has_advice(&node.fire_timer(id, 151 * MS), id));
-    // Beyond its tenant's quota it does not wait for a miss of the objective.
+    assert!(has_retry_after(&node.fire_timer(id, 151 * MS), id));
+    // A request beyond its tenant's quota is rejected even though it could still meet the latency objective.
     let tenants = vec![Tenant { quota_per_second: 4.0, service_share: 1.0 }];
     let classes = vec![RequestClass { latency_objective: 800 * MS, ..class(Idempotency::Idempotent) }];
-    let tight = Settings { max_retry_after: 2 * S, tenants, classes, ..settings() };
-    let mut node = TestNode::new(tight, endpoints(1..9));
-    let id = queued(&mut node);
+    let limited = Settings { max_retry_after: 2 * S, tenants, classes, ..settings() };
+    let mut node = TestNode::new(limited, endpoints(1..9));
+    let id = queue_one(&mut node);
     assert!(!rejected(&node.fire_timer(id, 400 * MS), id));
-    assert!(has_advice(&node.fire_timer(id, 51 * MS), id));
+    assert!(has_retry_after(&node.fire_timer(id, 51 * MS), id));
 }
 
-/// Responses come so late that more work would make all of it late: work beyond a quota is admitted no more,
-/// and work within it less. One of few nodes queues requests instead.
+/// Responses come so late that more requests would make all responses late: requests beyond a quota are no
+/// longer admitted, and fewer of those within it. One of few nodes queues requests instead.
 #[test]
-fn a_node_of_many_sheds_when_its_attempts_wait() {
+fn one_of_many_nodes_sheds_when_its_attempts_wait() {
     for (nodes, sheds) in [(200, true), (2, false)] {
         let mut node = TestNode::new(many_nodes(nodes, 0), endpoints(1..41));
         attempts_by_endpoint(&mut node, 30);
@@ -114,10 +117,11 @@
     }
 }
 
-/// An attempt whose response is lost has not waited for its turn. Counted in full, one in six of them made a
-/// node of many reject half of what arrived, with idle endpoints.
+/// An attempt whose response is lost has not waited at the endpoint. When the full time of such attempts
+/// counted as wait, one lost response in six made one of many nodes reject half of the arriving requests
+/// although the endpoints were idle.
 #[test]
-fn lost_responses_do_not_look_like_load() {
+fn lost_responses_do_not_cause_shedding() {
     let mut node = TestNode::new(many_nodes(200, 0), endpoints(1..41));
     attempts_by_endpoint(&mut node, 30);
     let mut rejections = 0;
@@ -131,9 +135,10 @@
     assert!(rejections <= 3, "{rejections} of 300 rejected");
 }
 
-/// Waits are forgotten: a node that has shed all work would otherwise never learn that the overload is over.
+/// The mean wait decays without attempts: a node that sheds all requests would otherwise never learn that the
+/// overload is over.
 #[test]
-fn shedding_ends_by_itself() {
+fn shedding_ends_after_a_time_without_attempts() {
     let mut node = TestNode::new(many_nodes(200, 0), endpoints(1..41));
     attempts_by_endpoint(&mut node, 30);
     for _ in 0..40 {
--- a/tests/balancer/concurrency.rs
+++ b/tests/balancer/concurrency.rs
@@ -6,9 +6,9 @@
 
 use crate::support::*;
 
-/// All endpoints respond four times slower than they did, always late: the limit must not shrink to nothing.
+/// All endpoints respond four times slower than before, always late: the limit must not collapse.
 #[test]
-fn a_slowdown_of_all_endpoints_does_not_close_them() {
+fn the_limit_does_not_collapse_when_all_endpoints_slow_down() {
     let mut node = TestNode::new(settings(), endpoints(1..9));
     let mut in_flight: Vec<(Timestamp, RequestId)> = Vec::new();
     let mut sent = [0, 0];
@@ -36,7 +36,7 @@
     assert!(sent[1] * 3 > sent[0], "{} sent before, {} while slow", sent[0], sent[1]);
 }
 
-/// Endpoints of three times the size take three times as much of this node's work once all are full.
+/// Once all endpoints are full, those of three times the size have three times as many attempts in flight.
 #[test]
 fn capacity_follows_weight() {
     let sized =
@@ -52,8 +52,8 @@
     assert!(small > 0 && large >= small * 2, "{large} at six large endpoints, {small} at six small ones");
 }
 
-/// Responses take five times as long as usual, but are in time, while more work is queued than fits: a higher
-/// limit would only overload the endpoints.
+/// Responses take five times as long as without load, but are in time, while more requests are queued than
+/// there is capacity for: a higher limit would only overload the endpoints.
 #[test]
 fn the_limit_does_not_grow_while_endpoints_are_slowed_down() {
     let mut node = TestNode::new(settings(), endpoints(1..9));
@@ -88,22 +88,25 @@
     );
 }
 
-/// Sends some requests each 2 ms for 2 s to eight endpoints that take one at a time; returns how many are in
-/// flight at the end. With `stops`, no endpoint responds any more in the last 0.6 s.
-fn in_flight_after(each: usize, work: Duration, stops: bool) -> usize {
+/// Sends `requests_per_step` requests every 2 ms for 2 s to eight endpoints that execute one at a time;
+/// returns how many are in flight at the end. With `stops_responding`, no endpoint responds in the last
+/// 600 ms.
+fn in_flight_after(requests_per_step: usize, work: Duration, stops_responding: bool) -> usize {
     let mut node = TestNode::new(Settings { node_count: 1, ..settings() }, endpoints(1..9));
     let mut in_flight: Vec<(Timestamp, Timestamp, RequestId)> = Vec::new();
     let mut free_at = [START; 9];
     for step in 0..1_000 {
         node.now += 2 * MS;
         let mut actions = Vec::new();
-        for _ in 0..each {
+        for _ in 0..requests_per_step {
             actions.extend(node.arrive(IDEMPOTENT, Some(step % 4)).1);
         }
-        let due = |o: &(Timestamp, Timestamp, RequestId)| o.0 <= node.now && !(stops && step >= 700);
-        let (back, rest): (Vec<_>, Vec<_>) = in_flight.into_iter().partition(due);
-        in_flight = rest;
-        for (_, sent_at, id) in back {
+        let due = |attempt: &(Timestamp, Timestamp, RequestId)| {
+            attempt.0 <= node.now && !(stops_responding && step >= 700)
+        };
+        let (ended, remaining): (Vec<_>, Vec<_>) = in_flight.into_iter().partition(due);
+        in_flight = remaining;
+        for (_, sent_at, id) in ended {
             actions.extend(node.end_attempt(
                 id,
                 0,
@@ -122,18 +125,18 @@
     in_flight.len()
 }
 
-/// A node that has just started has seen little, but what it saw at once is its rate: it does not queue
-/// the first seconds' work.
+/// A node that has just started has few samples, but derives the rate from the time that they cover: it does
+/// not queue the requests of the first seconds.
 #[test]
-fn the_limit_fits_soon_after_the_start() {
+fn the_limit_covers_the_demand_soon_after_the_start() {
     let in_flight = in_flight_after(1, 14 * MS, true);
-    assert!(in_flight > 20, "{in_flight} in flight where the arriving work alone keeps 7 busy");
+    assert!(in_flight > 20, "{in_flight} in flight where the arriving requests alone keep 7 busy");
 }
 
-/// The latency of a class not met yet is a guess: counted for real, the first responses raised the limit
-/// tenfold.
+/// The baseline latency of a class without responses is a guess: when the guess counted as demand, the first
+/// responses raised the limit tenfold.
 #[test]
-fn a_guessed_latency_does_not_raise_the_limit() {
+fn a_guessed_baseline_latency_does_not_raise_the_limit() {
     let classes =
         vec![RequestClass { latency_objective: 40 * S, deadline: 50 * S, ..class(Idempotency::Idempotent) }];
     let mut node = TestNode::new(Settings { classes, node_count: 1, ..settings() }, endpoints(1..9));
@@ -147,9 +150,10 @@
     assert!((8..=24).contains(&sent), "{sent} in flight at eight endpoints");
 }
 
-/// More than endpoints can do arrives within all quotas: the limit follows what they serve.
+/// More requests arrive within all quotas than the endpoints can serve: the limit follows the requests that
+/// they serve.
 #[test]
-fn a_burst_does_not_overload_the_endpoints() {
+fn the_limit_stays_low_when_demand_exceeds_capacity() {
     let in_flight = in_flight_after(4, 10 * MS, false);
     assert!(in_flight <= 80, "{in_flight} in flight at eight endpoints that take one at a time");
 }
--- a/tests/balancer/maintenance.rs
+++ b/tests/balancer/maintenance.rs
@@ -1,11 +1,11 @@
-//! Endpoints that operators take out of use and put back.
+//! Maintenance of endpoints by operators.
 
 use mothspool::*;
 
 use crate::support::*;
 
 #[test]
-fn an_endpoint_under_maintenance_is_not_ready_whatever_lists_say() {
+fn an_endpoint_under_maintenance_is_not_ready_whatever_discovery_reports() {
     let mut node = TestNode::new(settings(), endpoints(1..3));
     endpoints_reached(&mut node, &[None, Some(0)]);
     node.handle(Event::EnterMaintenance(1));
@@ -19,7 +19,7 @@
         node.handle(list);
         let seen = endpoints_reached(&mut node, &[None, Some(0)]);
         assert!(seen.values().flatten().all(|id| *id == 2), "{seen:?}");
-        // Neither a retry nor a hedge goes there, also when no other endpoint is left.
+        // Neither a retry nor a hedge goes to the endpoint, even if no other endpoint is left.
         let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
         assert_eq!(sends(&actions, id), [2]);
         assert_eq!(sends(&node.fire_timer(id, 290 * MS), id), []);
@@ -30,7 +30,7 @@
     node.handle(Event::EnterMaintenance(2));
     let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
     assert!(rejected(&actions, id), "none is ready");
-    // It was taken out twice; putting it back once is enough.
+    // Endpoint 1 entered maintenance twice; exiting it once is enough.
     node.handle(Event::EnterMaintenance(1));
     node.handle(Event::ExitMaintenance(1, node.now));
     let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn an_endpoint_after_maintenance_is_probed_at_once_and_gets_little_until_it_is_warm() {
+fn an_endpoint_after_maintenance_is_probed_at_once_and_then_goes_through_slow_start() {
     let mut node = TestNode::new(settings(), endpoints(1..5));
     endpoints_reached(&mut node, &[Some(0)]);
     node.handle(Event::EnterMaintenance(3));
@@ -47,21 +47,22 @@
     let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
     assert_eq!(sends(&actions, id), [3], "the first request shows that it is in use again");
     node.end_attempt(id, 0, Outcome::Served, 20 * MS);
-    let mut tried = 0;
+    let mut to_endpoint = 0;
     for _ in 0..400 {
         let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
-        tried += usize::from(sends(&actions, id) == [3]);
+        to_endpoint += usize::from(sends(&actions, id) == [3]);
         node.now += MS;
         node.end_attempt(id, 0, Outcome::Served, 20 * MS);
     }
-    assert!(tried < 40, "{tried} of 400 are more than the part of an endpoint that is warming up");
+    assert!(to_endpoint < 40, "{to_endpoint} of 400 are more than the share of an endpoint in slow start");
 }
 
 #[test]
-fn what_was_learned_of_an_endpoint_is_forgotten_after_maintenance() {
+fn maintenance_resets_what_was_learned_about_an_endpoint() {
     let (mut node, pool) = pool_of_four();
     let failing = pool[0];
-    // One attempt of before is still in flight; its end tells nothing of the endpoint after its return.
+    // An attempt from before the maintenance is still in flight; its outcome says nothing about the endpoint
+    // now.
     let late = loop {
         let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
         if sends(&actions, id) == [failing] {
@@ -69,7 +70,7 @@
         }
         node.end_attempt(id, 0, Outcome::Served, MS);
     };
-    // What was lost is not queued, and so not sent there later.
+    // Non-idempotent requests that fail are not queued again, and so not sent to the endpoint later.
     failures_met(&mut node, NON_IDEMPOTENT, &[failing], Outcome::Reset, 100);
     assert_eq!(failures_met(&mut node, NON_IDEMPOTENT, &[failing], Outcome::Reset, 40), 0, "it is ejected");
     node.handle(Event::EnterMaintenance(failing));
--- a/tests/balancer/outliers.rs
+++ b/tests/balancer/outliers.rs
@@ -5,7 +5,7 @@
 use crate::support::*;
 
 #[test]
-fn an_endpoint_that_fails_quickly_does_not_win_the_comparisons() {
+fn endpoints_that_fail_quickly_get_few_requests() {
     let mut node = TestNode::new(settings(), endpoints(1..9));
     let (mut failing, mut all) = (0, 0);
     for _ in 0..400 {
@@ -19,7 +19,7 @@
     assert!(failing * 10 < all, "{failing} of {all} went to endpoints that fail");
 }
 
-/// Where most endpoints fail, ejecting them would leave the few others to be crowded: then none is ejected.
+/// Ejecting most of the endpoints would overload the few others: then none is ejected.
 #[test]
 fn failing_endpoints_are_ejected_only_while_they_are_at_most_half_of_the_pool() {
     for (failing, ejected) in [(1, true), (3, false)] {
@@ -30,25 +30,26 @@
     }
 }
 
-/// Errors may be about one class: most of a pool may err on it and serve the others well.
+/// Errors may be limited to one class: most endpoints of a pool may return errors for it and serve the other
+/// classes well.
 #[test]
-fn endpoints_that_err_on_a_class_are_ejected_for_that_class_alone_however_many_they_are() {
+fn endpoints_that_return_errors_for_a_class_are_ejected_for_that_class_only() {
     for failing in 1..=4 {
         let (mut node, pool) = pool_of_four();
         failures_met(&mut node, NON_IDEMPOTENT, &pool[..failing], Outcome::Error, 100);
         let seen = failures_met(&mut node, NON_IDEMPOTENT, &pool[..failing], Outcome::Error, 20);
         assert!(
             seen <= failing,
-            "{seen} of 20 met one of {failing} endpoints that err: each is tried again now and then"
+            "{seen} of 20 went to the {failing} endpoints that return errors; each is tried again at times"
         );
         let others = failures_met(&mut node, IDEMPOTENT, &pool[..failing], Outcome::Served, 40);
         assert!(others > 0, "none of 40 went to the {failing} of 4 endpoints that serve them");
     }
 }
 
-/// The capacity of ejected endpoints is of no use: where the others are full, the pool is.
+/// The capacity of ejected endpoints can't be used: a pool is full once its other endpoints are.
 #[test]
-fn a_pool_whose_free_endpoints_are_ejected_spills_over() {
+fn a_pool_spills_over_if_its_endpoints_with_capacity_are_ejected() {
     let (mut node, pool) = pool_of_four();
     assert!(failures_met(&mut node, NON_IDEMPOTENT, &pool[..1], Outcome::Reset, 30) > 0);
     let to: Vec<EndpointId> = (0..30)
@@ -60,9 +61,10 @@
     assert!(to.iter().any(|endpoint| !pool.contains(endpoint)), "{to:?} all went to {pool:?}");
 }
 
-/// Requests that wait for the few endpoints which do not err on them must not block those of other classes.
+/// Requests that wait for the few endpoints which do not return errors for their class must not block
+/// requests of other classes.
 #[test]
-fn a_class_that_most_endpoints_err_on_does_not_block_the_others() {
+fn a_class_with_errors_on_most_endpoints_does_not_block_other_classes() {
     let (mut node, pool) = pool_of_four();
     failures_met(&mut node, NON_IDEMPOTENT, &pool[..3], Outcome::Error, 100);
     let open: Vec<_> = (0..30).map(|_| node.arrive(NON_IDEMPOTENT, Some(0)).0).collect();
@@ -70,21 +72,21 @@
     assert_eq!(sends(&actions, id).len(), 1, "{} are queued or in flight", open.len());
 }
 
-/// Where all endpoints err alike, to eject each for its part of the errors would only cost capacity.
+/// If all endpoints return errors alike, ejecting each for its share of the errors would only cost capacity.
 #[test]
-fn failures_that_all_endpoints_share_eject_none() {
+fn errors_shared_by_all_endpoints_eject_none() {
     let mut node = TestNode::new(settings(), endpoints(1..9));
-    let one = |node: &mut TestNode, outcome| {
+    let send_one = |node: &mut TestNode, outcome| {
         let (id, actions) = node.arrive(NON_IDEMPOTENT, Some(0));
         node.now += MS;
         node.end_attempt(id, 0, outcome, MS);
         sends(&actions, id)[0]
     };
     for _ in 0..20 {
-        one(&mut node, Outcome::Error);
+        send_one(&mut node, Outcome::Error);
     }
     node.now += S;
-    let last = one(&mut node, Outcome::Error);
+    let last = send_one(&mut node, Outcome::Error);
     node.now += 200 * MS;
     let open: Vec<_> = (0..12).map(|_| node.arrive(NON_IDEMPOTENT, Some(0))).collect();
     assert!(open.iter().any(|(id, actions)| sends(actions, *id).contains(&last)));
--- a/tests/balancer/pools.rs
+++ b/tests/balancer/pools.rs
@@ -1,4 +1,4 @@
-//! Labels and pools of tenants, and what overflows them.
+//! Labels and pools of tenants, and spilling over to other pools.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use crate::support::*;
 
 #[test]
-fn tenants_keep_to_disjoint_pools_of_four_or_more() {
+fn tenants_use_disjoint_pools_of_at_least_four_endpoints() {
     let mut node = TestNode::new(settings(), endpoints(1..11));
     let seen = endpoints_reached(&mut node, &[Some(0), Some(1), Some(2), Some(3)]);
     let pools: BTreeSet<_> = seen.values().cloned().collect();
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn requests_without_tenant_keep_to_unlabelled_endpoints() {
+fn requests_without_a_tenant_use_only_unlabelled_endpoints() {
     let mut half = settings();
     half.tenants.iter_mut().for_each(|t| t.service_share = 0.15);
     let mut node = TestNode::new(half, endpoints(1..21));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn rejects_for_lack_of_endpoints_only_when_none_is_ready() {
+fn rejects_for_lack_of_endpoints_only_if_none_is_ready() {
     let mut node = TestNode::new(settings(), endpoints(1..2));
     let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
     assert_eq!(sends(&actions, id), [1]);
@@ -47,30 +47,30 @@
 }
 
 #[test]
-fn overflow_goes_only_to_a_pool_that_is_half_free() {
+fn spills_over_only_to_a_pool_with_half_of_its_capacity_free() {
     let pools = |node: &mut TestNode| endpoints_reached(node, &[Some(0), Some(1), Some(2), Some(3)]);
     let mut quiet = TestNode::new(settings(), endpoints(1..11));
     let own = pools(&mut quiet);
     let mut node = TestNode::new(settings(), endpoints(1..11));
-    let mut overflow = 0;
+    let mut spilled_over = 0;
     for _ in 0..30 {
         let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
-        overflow += sends(&actions, id).iter().filter(|s| !own[&Some(0)].contains(s)).count();
+        spilled_over += sends(&actions, id).iter().filter(|s| !own[&Some(0)].contains(s)).count();
     }
     let other = own.iter().find(|(_, pool)| **pool != own[&Some(0)]).unwrap();
-    assert!(overflow > 0, "the idle pool takes overflow");
+    assert!(spilled_over > 0, "requests spill over to the idle pool");
     assert!(
-        overflow * 2 <= other.1.len() + 1,
-        "{overflow} attempts went to {} endpoints of another pool",
+        spilled_over * 2 <= other.1.len() + 1,
+        "{spilled_over} attempts went to {} endpoints of another pool",
         other.1.len()
     );
     let (id, actions) = node.arrive(IDEMPOTENT, *other.0);
-    assert_eq!(sends(&actions, id).len(), 1, "its own tenants still find capacity");
+    assert_eq!(sends(&actions, id).len(), 1, "the other pool still has capacity for its own tenants");
 }
 
-/// One endpoint joins, then leaves again: few tenants' endpoints change.
+/// When an endpoint joins, only few of each tenant's endpoints change.
 #[test]
-fn pools_change_little_when_the_list_changes() {
+fn pools_change_little_when_an_endpoint_joins() {
     let tenants = [Some(0), Some(1), Some(2), Some(3)];
     let ten = endpoints_reached(&mut TestNode::new(settings(), endpoints(1..11)), &tenants);
     let eleven = endpoints_reached(&mut TestNode::new(settings(), endpoints(1..12)), &tenants);
--- a/tests/balancer/selection.rs
+++ b/tests/balancer/selection.rs
@@ -1,4 +1,4 @@
-//! Selection among the endpoints of a pool.
+//! Selection of an endpoint of a pool.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use crate::support::*;
 
 #[test]
-fn a_key_keeps_to_two_endpoints_only_with_key_affinity() {
+fn one_key_uses_at_most_two_endpoints_only_with_key_affinity() {
     for (key_affinity, keeps_to_two) in [(true, true), (false, false)] {
         let mut node = TestNode::new(Settings { key_affinity, ..settings() }, endpoints(1..11));
         let mut seen = BTreeSet::new();
@@ -28,12 +28,13 @@
     }
 }
 
-/// A nearby endpoint that is filled before others are used is slower by more than the way to those takes.
+/// Endpoints of the node's zone that are filled first respond later than those of other zones, by more than
+/// the network latency between zones.
 #[test]
-fn no_zone_is_filled_before_the_others() {
+fn spreads_requests_over_zones_despite_a_cross_zone_price() {
     let list: Vec<_> =
         endpoints(1..11).into_iter().map(|s| EndpointInfo { zone: (s.id % 2) as u8, ..s }).collect();
-    // As the operators state it: crossing zones has its price, but a small one.
+    // These settings of the operators give a small price for crossing zones.
     let stated = settings_format::parse_settings(b"zone=0\nprices.cross_zone=0.01\n").unwrap();
     let Settings { classes, tenants, .. } = settings();
     let mut node = TestNode::new(Settings { classes, tenants, ..stated }, list);
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn endpoints_without_weight_are_used_alike() {
+fn uses_all_endpoints_if_no_weight_is_known() {
     let list: Vec<_> = endpoints(1..9).into_iter().map(|s| EndpointInfo { weight: 0.0, ..s }).collect();
     let mut node = TestNode::new(Settings { node_count: 1, ..settings() }, list);
     let arrivals = (0..100).map(|n| node.arrive(IDEMPOTENT, Some(n % 4)));
@@ -60,7 +61,8 @@
     assert_eq!(used.len(), 8);
 }
 
-/// A load-dependent weight is a second old and the same at all nodes: by it, they crowded what had been idle.
+/// A load-dependent weight is one second old and the same at all nodes: selecting by it, all nodes overloaded
+/// endpoints that had been idle before.
 #[test]
 fn a_load_dependent_weight_does_not_change_an_endpoint_size() {
     let settings = Settings { load_dependent_weights: true, ..many_nodes(200, 5) };
