--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -5,7 +5,8 @@
 use super::latency::{LatencyEstimator, shortest_baseline_us};
 use super::requests::QueuedRequest;
 
-/// Minimum burst of a tenant at a node, in requests. At most nodes, a tenant's requests arrive unevenly.
+/// Minimum burst of a tenant at a node, in tokens of one request each. Most nodes receive a tenant's requests
+/// unevenly.
 const MIN_BURST_TOKENS: f64 = 4.0;
 
 /// Token bucket for this node's share of a tenant's quota. It holds the tokens of one second, at least
--- a/src/balancer/maintenance.rs
+++ b/src/balancer/maintenance.rs
@@ -61,7 +61,7 @@
         self.exits.get_mut(&id).into_iter().for_each(|exit| exit.probe_pending = false);
     }
 
-    /// Whether an attempt sent at this time only tells about the endpoint as it was before the end of its
+    /// Whether an attempt sent at this time only reflects the state of the endpoint before the end of its
     /// maintenance.
     pub(super) fn was_sent_before_exit(&self, id: EndpointId, sent_at: Timestamp) -> bool {
         self.exits.get(&id).is_some_and(|exit| sent_at < exit.exited_at)
