--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -30,8 +30,8 @@
     engine: EngineHandle,
     subscribe: Rc<Notify>,
 ) {
-    let mut follower = Follower::new(&config, engine);
-    follower.publish(&config.cached_list, ListKind::Cached);
+    let mut client = DiscoveryClient::new(&config, engine);
+    client.publish(&config.cached_list, ListKind::Cached);
     if config.settings.discovery != DiscoveryMode::Push {
         subscribe.notified().await;
     }
@@ -41,14 +41,14 @@
             biased;
             // The old address takes no new watch, and ends the one that it has.
             () = address_changed(&mut address) => {
-                follower.backoff.reset();
+                client.backoff.reset();
                 continue;
             }
-            Err(error) = follower.watch(current) => error,
+            Err(error) = client.watch(current) => error,
         };
-        follower.record_failure(&error);
+        client.record_failure(&error);
         // A move must not wait for what happened at the old address.
-        let delay = follower.backoff.delay(started.elapsed());
+        let delay = client.backoff.next_delay(started.elapsed());
         let _ = timeout(delay, address_changed(&mut address)).await;
     }
 }
@@ -61,7 +61,7 @@
 }
 
 /// What is kept from one watch to the next.
-struct Follower {
+struct DiscoveryClient {
     engine: EngineHandle,
     converter: RecordConverter,
     /// The revision of the endpoint list that the engine has.
@@ -69,9 +69,9 @@
     backoff: Backoff,
 }
 
-impl Follower {
-    fn new(config: &Config, engine: EngineHandle) -> Follower {
-        Follower {
+impl DiscoveryClient {
+    fn new(config: &Config, engine: EngineHandle) -> DiscoveryClient {
+        DiscoveryClient {
             engine,
             converter: RecordConverter::new(config),
             revision: config.cached_list.revision,
@@ -101,7 +101,7 @@
 
     /// Passes a list on to the engine.
     fn publish(&mut self, list: &EndpointList, kind: ListKind) {
-        let endpoints = list.records.iter().map(|record| self.converter.endpoint(record)).collect();
+        let endpoints = list.records.iter().map(|record| self.converter.convert(record)).collect();
         self.engine.update_endpoints(kind, endpoints);
     }
 
--- a/src/node/discovery/parser.rs
+++ b/src/node/discovery/parser.rs
@@ -15,7 +15,7 @@
     TooLong,
     /// An empty line, or the end of a line within a string, where it goes on.
     #[error("an endpoint list breaks off after {bytes} bytes")]
-    BrokenOff {
+    Truncated {
         /// How many bytes of it there are.
         bytes: usize,
     },
@@ -81,7 +81,7 @@
         if self.depth > 0 || self.in_string {
             // An empty line says that nothing changes: the list before it was broken off.
             if line_was_blank || self.in_string {
-                return Err(ParseError::BrokenOff { bytes: self.buffer.len() });
+                return Err(ParseError::Truncated { bytes: self.buffer.len() });
             }
             self.buffer.push(b'\n');
             return Ok(None);
--- a/src/node/discovery/records.rs
+++ b/src/node/discovery/records.rs
@@ -14,22 +14,22 @@
 /// Numbers names: those of the settings in their order, then others as they occur. Two names that the
 /// settings leave out differ just as two that they list: where a retry may run can depend on a zone.
 struct Interner {
-    numbers: HashMap<String, u8>,
+    indices: HashMap<String, u8>,
 }
 
 impl Interner {
     fn new(names: &[String]) -> Interner {
-        Interner { numbers: names.iter().cloned().zip(0..u8::MAX).collect() }
+        Interner { indices: names.iter().cloned().zip(0..u8::MAX).collect() }
     }
 
     /// The number of a name. When numbers run out, all further names share the last one.
     fn intern(&mut self, name: &str) -> u8 {
-        if let Some(number) = self.numbers.get(name) {
-            return *number;
+        if let Some(index) = self.indices.get(name) {
+            return *index;
         }
-        let next = u8::try_from(self.numbers.len()).unwrap_or(u8::MAX);
+        let next = u8::try_from(self.indices.len()).unwrap_or(u8::MAX);
         if next < u8::MAX {
-            self.numbers.insert(name.into(), next);
+            self.indices.insert(name.into(), next);
         }
         next
     }
@@ -51,7 +51,7 @@
     }
 
     /// What a record says of its endpoint.
-    pub(super) fn endpoint(&mut self, record: &EndpointRecord) -> ListedEndpoint {
+    pub(super) fn convert(&mut self, record: &EndpointRecord) -> ListedEndpoint {
         let info = EndpointInfo {
             id: endpoint_id(&record.uid),
             state: match record.state {
--- a/src/node/discovery/watch.rs
+++ b/src/node/discovery/watch.rs
@@ -80,7 +80,7 @@
     Ended,
     /// The connection broke.
     #[error("the watch broke")]
-    Broken(#[source] hyper::Error),
+    Receive(#[source] hyper::Error),
     /// What came is no endpoint list.
     #[error(transparent)]
     Parse(#[from] ParseError),
@@ -102,7 +102,7 @@
     unparsed: Bytes,
     parser: ListParser,
     /// When the watch counts as dead, unless a line is complete by then.
-    silent_at: Instant,
+    expires_at: Instant,
     _connection: AbortOnDropHandle<hyper::Result<()>>,
     /// The connection is open for requests as long as there is a sender.
     _sender: SendRequest<Empty<Bytes>>,
@@ -129,7 +129,7 @@
             body: response.into_body(),
             unparsed: Bytes::new(),
             parser: ListParser::new(),
-            silent_at: Instant::now() + SILENCE_TIMEOUT,
+            expires_at: Instant::now() + SILENCE_TIMEOUT,
             _connection: connection,
             _sender: sender,
         })
@@ -151,7 +151,7 @@
             let list = self.parser.push(self.unparsed.get_u8())?;
             // A list that arrives byte by byte and never ends is silence too.
             if self.parser.is_between_lists() {
-                self.silent_at = Instant::now() + SILENCE_TIMEOUT;
+                self.expires_at = Instant::now() + SILENCE_TIMEOUT;
             }
             if list.is_some() {
                 return Ok(list);
@@ -162,8 +162,8 @@
 
     /// Waits for the next piece of the response.
     async fn receive(&mut self) -> Result<(), WatchError> {
-        let frame = timeout_at(self.silent_at, self.body.frame()).await.map_err(|_| WatchError::Silent)?;
-        let frame = frame.ok_or(WatchError::Ended)?.map_err(WatchError::Broken)?;
+        let frame = timeout_at(self.expires_at, self.body.frame()).await.map_err(|_| WatchError::Silent)?;
+        let frame = frame.ok_or(WatchError::Ended)?.map_err(WatchError::Receive)?;
         // Trailers say nothing.
         self.unparsed = frame.into_data().unwrap_or_default();
         Ok(())
--- a/src/node/downstream/exchange.rs
+++ b/src/node/downstream/exchange.rs
@@ -48,12 +48,12 @@
 ) -> Result<Response<ResponseBody>, RequestError> {
     let AcceptedRequest { request, upstream_request, claimed_id: _claimed_id } = accepted;
     let body = upstream_request.body.clone();
-    let (sender, answer) = oneshot::channel();
+    let (answer_sender, answer) = oneshot::channel();
     let mut disconnect = DisconnectGuard { id: request.id, upstream_request, engine, armed: true };
     engine.send(EngineEvent::RequestArrived {
         request,
         upstream_request: disconnect.upstream_request.clone(),
-        answer: sender,
+        answer_sender,
     });
     let answer = tokio::select! {
         biased;
--- a/src/node/engine/actions.rs
+++ b/src/node/engine/actions.rs
@@ -33,17 +33,17 @@
         upstream_request.begin_by.set(begin_by.map(|time| self.clock.instant(time)));
         let attempt = AttemptId { request: id, number: request.next_attempt_number() };
         let may_send = !request.is_answered();
-        let written = Rc::new(Cell::new(false));
+        let may_be_written = Rc::new(Cell::new(false));
         let (upstream, handle) = (self.upstream.clone(), self.handle.clone());
-        let attempt_written = written.clone();
+        let task_may_be_written = may_be_written.clone();
         let task = spawn_local(async move {
             let outcome = match may_send {
-                true => upstream.attempt(&upstream_request, endpoint, &attempt_written).await,
+                true => upstream.attempt(&upstream_request, endpoint, &task_may_be_written).await,
                 false => AttemptOutcome::Failed(Outcome::NotSent),
             };
-            handle.send(event_of(attempt, outcome));
+            handle.send(to_event(attempt, outcome));
         });
-        request.add_attempt(Attempt::new(sent_at, written, task.abort_handle()));
+        request.add_attempt(Attempt::new(sent_at, may_be_written, task.abort_handle()));
     }
 
     fn reject(&mut self, id: RequestId, retry_after: Duration) {
@@ -80,7 +80,7 @@
     }
 }
 
-fn event_of(attempt: AttemptId, outcome: AttemptOutcome) -> EngineEvent {
+fn to_event(attempt: AttemptId, outcome: AttemptOutcome) -> EngineEvent {
     match outcome {
         AttemptOutcome::Failed(outcome) => EngineEvent::AttemptEnded { attempt, outcome },
         AttemptOutcome::Served(response) => EngineEvent::AttemptServed { attempt, response },
--- a/src/node/engine/attempts.rs
+++ b/src/node/engine/attempts.rs
@@ -23,7 +23,7 @@
             return on_end(Outcome::Cancelled);
         }
         attempt.response_started_at = Some(now);
-        self.pending.push_back(Event::ResponseStarted(id.request, id.number));
+        self.pending_events.push_back(Event::ResponseStarted(id.request, id.number));
         let response = response.map(|body| body.into_body(on_end));
         self.answer(id.request, FinalAnswer::Served(response));
     }
@@ -51,7 +51,7 @@
         let began_at = attempt.sent_at.max(received_at);
         let elapsed = attempt.response_started_at.unwrap_or(now).saturating_duration_since(began_at);
         request.has_timed_out |= outcome == Outcome::TimedOut;
-        self.pending.push_back(Event::AttemptEnded(AttemptResult {
+        self.pending_events.push_back(Event::AttemptEnded(AttemptResult {
             request: id.request,
             attempt: id.number,
             outcome,
@@ -71,7 +71,7 @@
 
     /// Gives a request its final answer, unless it has one.
     pub(super) fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
-        if let Some(client) = self.requests.get_mut(&id).and_then(ActiveRequest::take_answer) {
+        if let Some(client) = self.requests.get_mut(&id).and_then(ActiveRequest::take_answer_sender) {
             // A client that is disconnecting right now receives no answer. Its `ClientDisconnected` then
             // finds the request answered.
             let _ = client.send(answer);
--- a/src/node/engine/clock.rs
+++ b/src/node/engine/clock.rs
@@ -9,16 +9,16 @@
 /// endpoints, which are Unix time, and yet never runs backwards.
 #[derive(Clone, Copy)]
 pub(super) struct Clock {
-    started: Instant,
-    /// Unix time at `started`.
-    started_at: Timestamp,
+    start_instant: Instant,
+    /// Unix time at `start_instant`.
+    start_time: Timestamp,
 }
 
 impl Clock {
     /// A clock that starts now.
     pub(super) fn start() -> Clock {
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), started_at: Timestamp::default() + unix_time }
+        Clock { start_instant: Instant::now(), start_time: Timestamp::default() + unix_time }
     }
 
     /// The time now.
@@ -28,11 +28,11 @@
 
     /// The time at an instant of the runtime's clock that is not before the start.
     pub(super) fn timestamp(&self, instant: Instant) -> Timestamp {
-        self.started_at + instant.saturating_duration_since(self.started)
+        self.start_time + instant.saturating_duration_since(self.start_instant)
     }
 
     /// The instant of the runtime's clock at a time; the start, if the time is before it.
     pub(super) fn instant(&self, time: Timestamp) -> Instant {
-        self.started + time.saturating_duration_since(self.started_at)
+        self.start_instant + time.saturating_duration_since(self.start_time)
     }
 }
--- a/src/node/engine/event.rs
+++ b/src/node/engine/event.rs
@@ -31,7 +31,7 @@
         /// What is sent to an endpoint.
         upstream_request: Rc<UpstreamRequest>,
         /// Takes the final answer.
-        answer: oneshot::Sender<FinalAnswer>,
+        answer_sender: oneshot::Sender<FinalAnswer>,
     },
     /// The client has closed its connection; no answer is owed any more.
     ClientDisconnected(RequestId),
--- a/src/node/engine/mod.rs
+++ b/src/node/engine/mod.rs
@@ -36,7 +36,7 @@
     timers: Timers,
     requests: RequestTable,
     /// Events that the balancer has not handled yet.
-    pending: VecDeque<Event>,
+    pending_events: VecDeque<Event>,
 }
 
 impl Engine {
@@ -55,7 +55,7 @@
             clock: Clock::start(),
             timers: Timers::default(),
             requests: RequestTable::new(),
-            pending: VecDeque::new(),
+            pending_events: VecDeque::new(),
         }
     }
 
@@ -75,9 +75,9 @@
 
     fn on_event(&mut self, event: EngineEvent) {
         match event {
-            EngineEvent::Balancer(event) => self.pending.push_back(event),
-            EngineEvent::RequestArrived { request, upstream_request, answer } => {
-                self.on_request(request, upstream_request, answer);
+            EngineEvent::Balancer(event) => self.pending_events.push_back(event),
+            EngineEvent::RequestArrived { request, upstream_request, answer_sender } => {
+                self.on_request(request, upstream_request, answer_sender);
             }
             EngineEvent::ClientDisconnected(request) => self.on_client_disconnected(request),
             EngineEvent::ResponseStarted { attempt, response } => self.start_response(attempt, response),
@@ -90,16 +90,16 @@
         &mut self,
         request: Request,
         upstream_request: Rc<UpstreamRequest>,
-        answer: oneshot::Sender<FinalAnswer>,
+        answer_sender: oneshot::Sender<FinalAnswer>,
     ) {
-        self.requests.insert(request.id, ActiveRequest::new(upstream_request, answer));
-        self.pending.push_back(Event::RequestArrived(request));
+        self.requests.insert(request.id, ActiveRequest::new(upstream_request, answer_sender));
+        self.pending_events.push_back(Event::RequestArrived(request));
     }
 
     fn on_client_disconnected(&mut self, id: RequestId) {
         // One that has its answer is finished for the balancer.
-        if self.requests.get_mut(&id).and_then(ActiveRequest::take_answer).is_some() {
-            self.pending.push_back(Event::ClientDisconnected(id));
+        if self.requests.get_mut(&id).and_then(ActiveRequest::take_answer_sender).is_some() {
+            self.pending_events.push_back(Event::ClientDisconnected(id));
         }
     }
 
@@ -110,14 +110,14 @@
         {
             request.timer.take_if(|timer| timer.is_due(now));
         }
-        self.pending.push_back(Event::TimerFired(token));
+        self.pending_events.push_back(Event::TimerFired(token));
     }
 
     /// Lets the balancer handle all pending events, and carries out its actions. These may add further
     /// events.
     fn run_balancer(&mut self) {
         let mut actions = Vec::new();
-        while let Some(event) = self.pending.pop_front() {
+        while let Some(event) = self.pending_events.pop_front() {
             let request = request_that_may_end(&event);
             self.balancer.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
--- a/src/node/engine/requests.rs
+++ b/src/node/engine/requests.rs
@@ -19,7 +19,7 @@
 pub(super) struct ActiveRequest {
     pub(super) upstream_request: Rc<UpstreamRequest>,
     /// Taken once the final answer is given or the client has disconnected.
-    answer: Option<oneshot::Sender<FinalAnswer>>,
+    answer_sender: Option<oneshot::Sender<FinalAnswer>>,
     /// In the order in which they were sent.
     attempts: Vec<Attempt>,
     /// Whether an attempt has timed out.
@@ -32,11 +32,11 @@
     /// A request without attempts.
     pub(super) fn new(
         upstream_request: Rc<UpstreamRequest>,
-        answer: oneshot::Sender<FinalAnswer>,
+        answer_sender: oneshot::Sender<FinalAnswer>,
     ) -> ActiveRequest {
         ActiveRequest {
             upstream_request,
-            answer: Some(answer),
+            answer_sender: Some(answer_sender),
             attempts: Vec::new(),
             has_timed_out: false,
             timer: None,
@@ -45,12 +45,12 @@
 
     /// Whether no final answer is owed any more.
     pub(super) fn is_answered(&self) -> bool {
-        self.answer.is_none()
+        self.answer_sender.is_none()
     }
 
     /// Takes the way to the client; nothing if no answer is owed any more.
-    pub(super) fn take_answer(&mut self) -> Option<oneshot::Sender<FinalAnswer>> {
-        self.answer.take()
+    pub(super) fn take_answer_sender(&mut self) -> Option<oneshot::Sender<FinalAnswer>> {
+        self.answer_sender.take()
     }
 
     /// Whether an attempt is still running.
@@ -87,7 +87,7 @@
     pub(super) fn unwritten_attempts(&self, request: RequestId) -> Vec<AttemptId> {
         let is_incomplete = self.upstream_request.received_at().is_none();
         let is_unwritten =
-            |attempt: &Attempt| attempt.is_running() && (is_incomplete || !attempt.written.get());
+            |attempt: &Attempt| attempt.is_running() && (is_incomplete || !attempt.may_be_written.get());
         let numbered = (0..).zip(&self.attempts);
         let unwritten = numbered.filter(|(_, attempt)| is_unwritten(attempt));
         unwritten.map(|(number, _)| AttemptId { request, number }).collect()
@@ -98,7 +98,7 @@
 pub(super) struct Attempt {
     pub(super) sent_at: Timestamp,
     /// Whether some of it may be on a socket; set by the attempt's task.
-    written: Rc<Cell<bool>>,
+    may_be_written: Rc<Cell<bool>>,
     /// When its response began to be passed on: from then on the attempt is the client's.
     pub(super) response_started_at: Option<Timestamp>,
     /// Taken once the balancer has been notified of its end.
@@ -107,8 +107,8 @@
 
 impl Attempt {
     /// An attempt that `task` carries out.
-    pub(super) fn new(sent_at: Timestamp, written: Rc<Cell<bool>>, task: AbortHandle) -> Attempt {
-        Attempt { sent_at, written, response_started_at: None, task: Some(task) }
+    pub(super) fn new(sent_at: Timestamp, may_be_written: Rc<Cell<bool>>, task: AbortHandle) -> Attempt {
+        Attempt { sent_at, may_be_written, response_started_at: None, task: Some(task) }
     }
 
     /// Whether the balancer still waits for its end.
--- a/src/node/protocol/headers.rs
+++ b/src/node/protocol/headers.rs
@@ -16,7 +16,7 @@
 pub const SRV_DECLINED: HeaderName = HeaderName::from_static("srv-declined");
 
 /// The headers that are about one connection, or the framing of a message on it, whatever `Connection` says.
-const HOP_BY_HOP: [HeaderName; 9] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
     header::EXPECT,
@@ -31,17 +31,17 @@
 /// Removes the headers that are about one connection and not about the message: the fixed ones, and those
 /// that `Connection` names.
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
-    for name in named_by_connection(headers) {
+    for name in connection_options(headers) {
         headers.remove(name);
     }
-    for name in HOP_BY_HOP {
+    for name in HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
 }
 
 /// The headers that `Connection` names. It can't name those that identify the request: without its key a
 /// request would be executed twice, whatever a client says of its connection.
-fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
+fn connection_options(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(header::CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
     let names = texts.flat_map(|text| text.split(',')).filter_map(|name| name.trim().parse().ok());
