--- a/src/node/discovery/backoff.rs
+++ b/src/node/discovery/backoff.rs
@@ -1,15 +1,18 @@
-//! How long discovery waits before it begins the next watch.
+//! The delay between a failed watch and the next one.
 
 use std::time::Duration;
 
-/// The delay before the next watch lies between this and twice this, times the failures in a row.
+/// Base delay after the first failure; each further consecutive failure adds the same amount.
 const BASE_DELAY: Duration = Duration::from_millis(150);
-/// The delay grows with the failures up to this many.
+/// Number of consecutive failures up to which the base delay grows.
 const MAX_BACKOFF_STEPS: u32 = 4;
-/// One failed watch and the delay behind it take no longer, as far as the watch leaves time for more than the
-/// shortest delay. Discovery that is down is silent; what it has at its return counts as known to the node at
-/// once, and a draining endpoint may be sent new requests for another 2 s only. The next watch has to begin
-/// by then, even if discovery returned right after the last one had begun.
+/// Maximum time from the start of a failed watch to the start of the next one. It is exceeded only if the
+/// failed watch took longer than `MAX_RECONNECT_INTERVAL − 2 · BASE_DELAY`, because the base delay is never
+/// shorter than `BASE_DELAY`.
+///
+/// Discovery that is down does not respond. When it is back, its changes count as known to the node at once,
+/// and a draining endpoint may be sent new requests for 2 s more. The next watch has to start within these
+/// 2 s, even if discovery comes back right after the previous watch has started.
 const MAX_RECONNECT_INTERVAL: Duration = Duration::from_millis(1700);
 
 /// Reconnect backoff, linear in the number of consecutive failures, with jitter, and bounded by
@@ -34,23 +37,24 @@
 }
 
 impl Backoff {
-    /// A backoff without failures, whose jitter is drawn from `seed`.
+    /// Creates a backoff without failures; `seed` seeds the jitter.
     pub(super) fn new(seed: u64) -> Backoff {
         Backoff { failures: 0, random: fastrand::Rng::with_seed(seed) }
     }
 
-    /// Notes a success: the next failure is the first of its row.
+    /// Resets the number of consecutive failures after a success.
     pub(super) fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Notes a failure. Returns whether it is the first of its row.
+    /// Counts a failure. Returns whether it is the first since the last success.
     pub(super) fn record_failure(&mut self) -> bool {
         self.failures += 1;
         self.failures == 1
     }
 
-    /// The delay after the last failure, which came so long after its watch had begun.
+    /// Returns the delay before the next watch. `elapsed` is the time from the start of the failed watch to
+    /// its failure.
     pub(super) fn next_delay(&mut self, elapsed: Duration) -> Duration {
         let max_base_delay = (MAX_RECONNECT_INTERVAL.saturating_sub(elapsed) / 2).max(BASE_DELAY);
         let base_delay = (BASE_DELAY * self.failures.min(MAX_BACKOFF_STEPS)).min(max_base_delay);
--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery: the endpoint list, and the watch that keeps it current.
+//! Discovery: receives endpoint lists on a watch and passes them to the engine.
 
 mod backoff;
 mod parser;
@@ -21,9 +21,9 @@
 use crate::log::ErrorChain;
 use crate::protocol::endpoint_list::EndpointList;
 
-/// Starts from the endpoint list in the configuration and follows discovery from there on, for ever. When
-/// `address` changes, it goes on at the new one from the revision that it has. Where discovery is polled, the
-/// first watch begins with `subscribe`.
+/// Publishes the endpoint list of the configuration and then watches discovery forever. When `address`
+/// changes, the next watch is opened at the new address and starts from the current revision. If discovery is
+/// polled, the first watch waits for `subscribe`.
 pub async fn follow(
     config: Rc<Config>,
     mut address: watch_channel::Receiver<SocketAddr>,
@@ -39,7 +39,7 @@
         let (current, started) = (*address.borrow_and_update(), Instant::now());
         let error = tokio::select! {
             biased;
-            // The old address takes no new watch, and ends the one that it has.
+            // The old address accepts no new watch and ends the open one, so the change takes precedence.
             () = address_changed(&mut address) => {
                 client.backoff.reset();
                 continue;
@@ -47,24 +47,24 @@
             Err(error) = client.watch(current) => error,
         };
         client.record_failure(&error);
-        // A move must not wait for what happened at the old address.
+        // A change of the address ends the delay, which is due to a failure at the old address.
         let delay = client.backoff.next_delay(started.elapsed());
         let _ = timeout(delay, address_changed(&mut address)).await;
     }
 }
 
-/// Waits until discovery has moved; for ever, if nothing can move it any more.
+/// Waits until the address of discovery changes. Never returns if the sender of addresses is dropped.
 async fn address_changed(address: &mut watch_channel::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// What is kept from one watch to the next.
+/// State that is kept from one watch to the next.
 struct DiscoveryClient {
     engine: EngineHandle,
     converter: RecordConverter,
-    /// The revision of the endpoint list that the engine has.
+    /// Revision of the endpoint list that the engine has.
     revision: u64,
     backoff: Backoff,
 }
@@ -79,10 +79,10 @@
         }
     }
 
-    /// Follows one watch until it fails.
+    /// Opens a watch and applies its endpoint lists until it fails.
     async fn watch(&mut self, address: SocketAddr) -> Result<Infallible, WatchError> {
         let mut watch = Watch::open(address, self.revision).await?;
-        // A watch that is open may send nothing until something changes.
+        // An open watch counts as a success even without a list: it may send none until something changes.
         self.backoff.reset();
         loop {
             let list = watch.next_list().await?;
@@ -99,17 +99,21 @@
         Ok(())
     }
 
-    /// Passes a list on to the engine.
+    /// Passes an endpoint list to the engine.
     fn publish(&mut self, list: &EndpointList, kind: ListKind) {
         let endpoints = list.records.iter().map(|record| self.converter.convert(record)).collect();
         self.engine.update_endpoints(kind, endpoints);
     }
 
-    /// Counts a failure, and logs the first one of a row: a line for each try of a long outage would say
-    /// nothing new.
+    /// Counts a failure, and logs it if it is the first since the last success. Further lines during a long
+    /// outage would add no information.
     fn record_failure(&mut self, error: &WatchError) {
         if self.backoff.record_failure() {
-            log!("discovery: {}; the next watch starts from revision {}", ErrorChain(error), self.revision);
+            log!(
+                "discovery watch failed: {}; the next watch starts from revision {}",
+                ErrorChain(error),
+                self.revision
+            );
         }
     }
 }
--- a/src/node/discovery/parser.rs
+++ b/src/node/discovery/parser.rs
@@ -1,56 +1,56 @@
-//! Parses the endpoint lists that arrive on a watch.
+//! Parser for the endpoint lists that are received on a watch.
 
 use thiserror::Error;
 
 use crate::protocol::endpoint_list::EndpointList;
 
-/// The longest list in bytes: one of some thousand endpoints, however it is indented.
+/// Maximum size of an endpoint list in bytes: enough for several thousand endpoints in any indentation.
 const MAX_LIST_BYTES: usize = 2 << 20;
 
-/// Why a list can't be parsed.
+/// Reason why an endpoint list can't be parsed.
 #[derive(Debug, Error)]
 pub(super) enum ParseError {
-    /// It has no end within [`MAX_LIST_BYTES`].
-    #[error("an endpoint list is longer than {MAX_LIST_BYTES} bytes")]
+    /// The list does not end within [`MAX_LIST_BYTES`].
+    #[error("endpoint list exceeds {MAX_LIST_BYTES} bytes")]
     TooLong,
-    /// An empty line, or the end of a line within a string, where it goes on.
-    #[error("an endpoint list breaks off after {bytes} bytes")]
+    /// There is an empty line within the list, or a line end within one of its strings.
+    #[error("endpoint list is truncated after {bytes} bytes")]
     Truncated {
-        /// How many bytes of it there are.
+        /// Number of bytes received of the list.
         bytes: usize,
     },
-    /// It is no endpoint list. The message of the source names line and column within it.
-    #[error("an endpoint list is malformed")]
+    /// The text is not an endpoint list. The message of the source names the line and column within it.
+    #[error("endpoint list is malformed")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// Assembles lists from bytes. Each list ends with a line, but may be indented over many; an empty line
-/// between two of them says that nothing has changed.
+/// Assembles endpoint lists from single bytes. A list may be indented over several lines and ends with the
+/// last of them. An empty line between two lists means that nothing has changed.
 pub(super) struct ListParser {
-    /// What has arrived of the current list.
+    /// Bytes received of the current list.
     buffer: Vec<u8>,
-    /// How many brackets are open outside of strings.
+    /// Number of open brackets outside of strings.
     depth: usize,
-    /// Whether the last byte is within a string.
+    /// Whether the last byte is inside a string.
     in_string: bool,
-    /// Whether the last byte is a backslash that escapes the next one.
+    /// Whether the last byte is a backslash that escapes the next byte.
     escaped: bool,
-    /// Whether there is nothing but white space on the current line so far.
+    /// Whether the current line contains only white space so far.
     line_is_blank: bool,
 }
 
 impl ListParser {
-    /// A parser that expects the first byte of a list.
+    /// Creates a parser that expects the first byte of a list.
     pub(super) fn new() -> ListParser {
         ListParser { buffer: Vec::new(), depth: 0, in_string: false, escaped: false, line_is_blank: true }
     }
 
-    /// Whether nothing of a next list has arrived, so that all before was complete.
+    /// Returns whether no byte has been received since the end of the last list or empty line.
     pub(super) fn is_between_lists(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Takes the next byte. Returns the list that ends with it, if one does.
+    /// Adds the next byte. Returns the list that it completes, if any.
     pub(super) fn push(&mut self, byte: u8) -> Result<Option<EndpointList>, ParseError> {
         if byte == b'\n' {
             return self.end_line();
@@ -79,7 +79,7 @@
     fn end_line(&mut self) -> Result<Option<EndpointList>, ParseError> {
         let line_was_blank = std::mem::replace(&mut self.line_is_blank, true);
         if self.depth > 0 || self.in_string {
-            // An empty line says that nothing changes: the list before it was broken off.
+            // Empty lines are sent only between lists, and JSON strings contain no line end.
             if line_was_blank || self.in_string {
                 return Err(ParseError::Truncated { bytes: self.buffer.len() });
             }
--- a/src/node/discovery/records.rs
+++ b/src/node/discovery/records.rs
@@ -1,4 +1,4 @@
-//! Converts the records of endpoint lists to what the balancer is notified of.
+//! Conversion of the records of endpoint lists to the form that the balancer uses.
 
 use std::collections::HashMap;
 
@@ -8,11 +8,11 @@
 use crate::protocol::endpoint_list::{EndpointRecord, RecordState, endpoint_id};
 use crate::upstream::ListedEndpoint;
 
-/// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1000;
 
-/// Numbers names: those of the settings in their order, then others as they occur. Two names that the
-/// settings leave out differ just as two that they list: where a retry may run can depend on a zone.
+/// Maps names to indices: first the names in the settings in their order, then other names in the order in
+/// which they occur. Names that are missing from the settings get different indices too, because the zone can
+/// determine where a retry may run.
 struct Interner {
     indices: HashMap<String, u8>,
 }
@@ -22,7 +22,8 @@
         Interner { indices: names.iter().cloned().zip(0..u8::MAX).collect() }
     }
 
-    /// The number of a name. When numbers run out, all further names share the last one.
+    /// Returns the index of a name, and assigns the next free one to a new name. When no index is free, all
+    /// further names share `u8::MAX`.
     fn intern(&mut self, name: &str) -> u8 {
         if let Some(index) = self.indices.get(name) {
             return *index;
@@ -35,14 +36,14 @@
     }
 }
 
-/// Converts records, and remembers the numbers of the names in them.
+/// Converts records, and keeps the indices of the zones and machine types in them.
 pub(super) struct RecordConverter {
     zones: Interner,
     machine_types: Interner,
 }
 
 impl RecordConverter {
-    /// A converter that numbers zones and machine types as the settings do.
+    /// Creates a converter that uses the indices of zones and machine types in the settings.
     pub(super) fn new(config: &Config) -> RecordConverter {
         RecordConverter {
             zones: Interner::new(&config.zones),
@@ -50,7 +51,7 @@
         }
     }
 
-    /// What a record says of its endpoint.
+    /// Returns the endpoint that a record describes.
     pub(super) fn convert(&mut self, record: &EndpointRecord) -> ListedEndpoint {
         let info = EndpointInfo {
             id: endpoint_id(&record.uid),
--- a/src/node/discovery/watch.rs
+++ b/src/node/discovery/watch.rs
@@ -1,5 +1,5 @@
-//! One watch: a request to discovery whose response goes on for as long as its connection, and carries
-//! endpoint lists.
+//! A watch: a request to discovery whose response lasts as long as its connection and contains endpoint
+//! lists.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,96 +20,98 @@
 use super::parser::{ListParser, ParseError};
 use crate::protocol::endpoint_list::EndpointList;
 
-/// How long a connection may take to come up. After a move to another address a watch has to be up within 4
-/// s, a second try included.
+/// Time limit for opening a connection. After the address of discovery has changed, a watch has to be open
+/// within 4 s, even if a second try is needed.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long the head of the response may take, for the same reason.
+/// Time limit for the head of the response, for the same reason as [`CONNECT_TIMEOUT`].
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// A watch without a complete line for this long is dead: a line is sent every 2 s. What it misses counts as
-/// known to the node after 6 s, and the next watch may be silent too: the one after that has to be up by
-/// then, the delays between them included.
+/// Time without a complete list or empty line after which a watch counts as broken; discovery sends a line
+/// every 2 s.
+///
+/// Changes that a silent watch misses count as known to the node after 6 s, and the next watch may be silent
+/// too. The third watch has to be open within these 6 s, which include the delays between the watches.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2400);
 
-/// Why a watch ended.
+/// Reason why a watch ended.
 #[derive(Debug, Error)]
 pub(super) enum WatchError {
-    /// No connection came up.
+    /// Opening the connection failed.
     #[error("connecting to {address} failed")]
     Connect {
-        /// Where discovery is.
+        /// Address of discovery.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// No connection came up in time.
-    #[error("connecting to {address} took longer than {CONNECT_TIMEOUT:?}")]
+    /// The connection was not open within [`CONNECT_TIMEOUT`].
+    #[error("connecting to {address} timed out after {CONNECT_TIMEOUT:?}")]
     ConnectTimedOut {
-        /// Where discovery is.
+        /// Address of discovery.
         address: SocketAddr,
     },
     /// The request can't be built.
-    #[error("the request for a watch is invalid")]
+    #[error("the watch request is invalid")]
     InvalidRequest(#[from] hyper::http::Error),
-    /// The connection broke before the response began.
-    #[error("{address} sent no response")]
+    /// The connection failed before the head of the response was received.
+    #[error("no response from {address}")]
     Request {
-        /// Where discovery is.
+        /// Address of discovery.
         address: SocketAddr,
-        /// What broke.
+        /// Error of the connection.
         source: hyper::Error,
     },
-    /// The response did not begin in time.
-    #[error("{address} sent no response within {RESPONSE_TIMEOUT:?}")]
+    /// The head of the response was not received within [`RESPONSE_TIMEOUT`].
+    #[error("no response from {address} within {RESPONSE_TIMEOUT:?}")]
     ResponseTimedOut {
-        /// Where discovery is.
+        /// Address of discovery.
         address: SocketAddr,
     },
-    /// The response is not a watch.
+    /// The status of the response is not 200.
     #[error("{address} responded with status {status}")]
     Status {
-        /// Where discovery is.
+        /// Address of discovery.
         address: SocketAddr,
-        /// What it responded.
+        /// Status of the response.
         status: StatusCode,
     },
-    /// No complete line came for too long.
-    #[error("the watch was silent for {SILENCE_TIMEOUT:?}")]
+    /// No list or empty line was completed within [`SILENCE_TIMEOUT`].
+    #[error("no complete list or empty line received for {SILENCE_TIMEOUT:?}")]
     Silent,
-    /// The response ended.
-    #[error("the watch ended")]
+    /// Discovery ended the response.
+    #[error("the response ended")]
     Ended,
-    /// The connection broke.
-    #[error("the watch broke")]
+    /// Receiving the response failed.
+    #[error("receiving the response failed")]
     Receive(#[source] hyper::Error),
-    /// What came is no endpoint list.
+    /// The received data is not an endpoint list.
     #[error(transparent)]
     Parse(#[from] ParseError),
-    /// A list is older than what the node has. What it has goes before what arrives late; a new watch sends
-    /// what has changed since.
-    #[error("an endpoint list has revision {received}, older than {current}")]
+    /// The received list is older than the one that the node has, and is not applied. A new watch sends what
+    /// has changed since the node's revision.
+    #[error("endpoint list has revision {received}, which is older than the current revision {current}")]
     StaleRevision {
-        /// The revision of the list.
+        /// Revision of the received list.
         received: u64,
-        /// The revision that the node has.
+        /// Revision that the node has.
         current: u64,
     },
 }
 
-/// An open watch; dropping it closes its connection.
+/// An open watch. Dropping it closes its connection.
 pub(super) struct Watch {
     body: Incoming,
-    /// What has been received and not parsed.
+    /// Received bytes that are not parsed yet.
     unparsed: Bytes,
     parser: ListParser,
-    /// When the watch counts as dead, unless a line is complete by then.
+    /// When the watch counts as broken, unless a list or an empty line is completed before.
     expires_at: Instant,
     _connection: AbortOnDropHandle<hyper::Result<()>>,
-    /// The connection is open for requests as long as there is a sender.
+    /// Keeps the connection open: it accepts requests only while a sender exists.
     _sender: SendRequest<Empty<Bytes>>,
 }
 
 impl Watch {
-    /// Opens a watch for what has changed since `revision`.
+    /// Opens a watch that sends the changes since `revision`.
     pub(super) async fn open(address: SocketAddr, revision: u64) -> Result<Watch, WatchError> {
         let stream = connect(address).await?;
         let request_error = |source| WatchError::Request { address, source };
@@ -135,7 +137,7 @@
         })
     }
 
-    /// Waits for the next endpoint list.
+    /// Waits for the next endpoint list and returns it.
     pub(super) async fn next_list(&mut self) -> Result<EndpointList, WatchError> {
         loop {
             if let Some(list) = self.parse()? {
@@ -145,11 +147,11 @@
         }
     }
 
-    /// Parses what has been received, up to the end of the next list.
+    /// Parses the received bytes up to the end of the next list.
     fn parse(&mut self) -> Result<Option<EndpointList>, ParseError> {
         while self.unparsed.has_remaining() {
             let list = self.parser.push(self.unparsed.get_u8())?;
-            // A list that arrives byte by byte and never ends is silence too.
+            // A list that never ends times out, even if bytes of it keep arriving.
             if self.parser.is_between_lists() {
                 self.expires_at = Instant::now() + SILENCE_TIMEOUT;
             }
@@ -160,11 +162,11 @@
         Ok(None)
     }
 
-    /// Waits for the next piece of the response.
+    /// Waits for the next frame of the response.
     async fn receive(&mut self) -> Result<(), WatchError> {
         let frame = timeout_at(self.expires_at, self.body.frame()).await.map_err(|_| WatchError::Silent)?;
         let frame = frame.ok_or(WatchError::Ended)?.map_err(WatchError::Receive)?;
-        // Trailers say nothing.
+        // Trailers are ignored.
         self.unparsed = frame.into_data().unwrap_or_default();
         Ok(())
     }
--- a/tests/node/deadlines.rs
+++ b/tests/node/deadlines.rs
@@ -16,7 +16,7 @@
 fn the_deadline_bounds_the_wait_for_a_silent_endpoint() {
     let upstream = UpstreamServer::new(|_, _| Reply::Never);
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
-    // A client may repeat an idempotent request (503); a non-idempotent one may have executed (504).
+    // The client may retry an idempotent request (503); a non-idempotent one may have been executed (504).
     assert_eq!(node.client().exchange(&request("GET", "/view/1", "2", "", "")).status(), 503);
     assert_eq!(node.client().exchange(&request("POST", "/order/1", "2", "", "yen")).status(), 504);
 }
--- a/tests/node/discovery.rs
+++ b/tests/node/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery: reconnects and silence.
+//! The watch on discovery: reconnects, silent watches and endless lists.
 
 use std::time::{Duration, Instant};
 
@@ -18,7 +18,7 @@
     watch.send_line("{\"rev\": 58, \"all\"");
     let mut watch = Watch::accept(&node.discovery);
     assert_eq!(watch.request.start_line, "GET /catalog/members?watch=1&from=57 HTTP/1.1");
-    // It then sends nothing at all, as a host that has vanished does.
+    // Discovery then sends nothing, as if its machine had become unreachable.
     watch.send_line("");
     let mut reopened = Watch::accept(&node.discovery);
     reopened.send_delta(60, &[ready_endpoint("a", &upstream)]);
@@ -31,9 +31,10 @@
     drop(watch);
 }
 
-/// Changes that the first watch misses are due 6 s after it fell silent.
+/// Changes that a silent watch misses count as known to the node after 6 s, even if the next watch is silent
+/// too.
 #[test]
-fn two_silent_watches_in_a_row_are_noticed_in_time() {
+fn a_third_watch_follows_two_silent_ones_within_six_seconds() {
     let (known, other) = (UpstreamServer::new(|_, _| ok("known")), UpstreamServer::new(|_, _| ok("other")));
     let node = Node::start(&[ready_endpoint("a", &known)]);
     let mut first = Watch::accept(&node.discovery);
@@ -46,22 +47,23 @@
     assert!(silent.elapsed() < Duration::from_secs(6), "{:?}", silent.elapsed());
 }
 
-/// While discovery is down its address does not answer, and its changes count as known from its return on: a draining
-/// endpoint may get requests for 2 s more. It may return right after a connection attempt has begun.
+/// Discovery that is down does not respond. When it is back, its changes count as known to the node at once,
+/// and a draining endpoint may be sent new requests for 2 s more. It may come back right after a connection
+/// was opened.
 #[test]
-fn reconnects_are_less_than_two_seconds_apart_however_long_discovery_is_down() {
+fn reconnects_stay_less_than_two_seconds_apart_while_discovery_is_down() {
     let upstream = UpstreamServer::new(|_, _| ok("known"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
-    let mut attempts = vec![(accept_connection(&node.discovery), Instant::now())];
+    let mut connections = vec![(accept_connection(&node.discovery), Instant::now())];
     for _ in 0..8 {
-        attempts.push((accept_connection(&node.discovery), Instant::now()));
+        connections.push((accept_connection(&node.discovery), Instant::now()));
     }
-    let longest = attempts.windows(2).map(|two| two[1].1 - two[0].1).max().unwrap();
+    let longest = connections.windows(2).map(|pair| pair[1].1 - pair[0].1).max().unwrap();
     assert!(longest < Duration::from_millis(1900), "{longest:?}");
 }
 
 #[test]
-fn an_endless_message_counts_as_silence() {
+fn a_watch_whose_list_never_ends_is_reopened() {
     let upstream = UpstreamServer::new(|_, _| ok("known"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     Watch::accept(&node.discovery).repeat_chunk(" ");
@@ -70,22 +72,23 @@
 }
 
 #[test]
-fn a_node_serves_from_its_known_list_while_discovery_rejects_calls() {
+fn a_node_serves_from_its_configured_list_while_discovery_closes_connections() {
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir());
     assert_eq!((node.health(), node.admin_request("GET", "/status", "").status()), (200, 200));
-    // Each call is rejected; those of many nodes must neither follow at once nor be in step.
-    let (started, mut calls) = (Instant::now(), Vec::new());
-    while calls.len() < 6 {
+    // Each connection is closed at once. The next one must not follow at once, and the delays must vary so
+    // that many nodes do not reconnect at the same times.
+    let (started, mut accepted_at) = (Instant::now(), Vec::new());
+    while accepted_at.len() < 6 {
         drop(accept_connection(&node.discovery));
-        calls.push(started.elapsed());
+        accepted_at.push(started.elapsed());
         assert_eq!(node.client().exchange(&view_request()).status(), 200);
     }
-    let waits: Vec<Duration> = calls.windows(2).map(|two| two[1] - two[0]).collect();
-    assert!(waits.iter().all(|wait| *wait >= Duration::from_millis(140)), "{waits:?}");
-    assert!(waits[4] > Duration::from_millis(550), "the waits grow: {waits:?}");
-    let difference = waits[3].abs_diff(waits[4]);
-    assert!(difference > Duration::from_millis(2), "the waits vary: {waits:?}");
+    let delays: Vec<Duration> = accepted_at.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    assert!(delays.iter().all(|delay| *delay >= Duration::from_millis(140)), "{delays:?}");
+    assert!(delays[4] > Duration::from_millis(550), "the delays do not grow: {delays:?}");
+    let difference = delays[3].abs_diff(delays[4]);
+    assert!(difference > Duration::from_millis(2), "the delays do not vary: {delays:?}");
     let connections = (0..upstream.request_count()).map(|_| upstream.next_request().0).max();
-    assert!(connections < Some(3), "one request at a time needs no more connections: {connections:?}");
+    assert!(connections < Some(3), "sequential requests used too many connections: {connections:?}");
 }
--- a/tests/node/endpoint_lists.rs
+++ b/tests/node/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists: large, indented, truncated, stale; and what their changes do.
+//! Endpoint lists: large, indented, truncated and stale ones, and the effect of their changes.
 
 use std::collections::HashSet;
 
@@ -6,35 +6,37 @@
 
 use crate::support::*;
 
-/// As many endpoints as a deployment may have, all at one address.
-const ENDPOINTS: usize = 1024;
+/// Maximum number of endpoints of a deployment; in these lists all have one address.
+const ENDPOINT_COUNT: usize = 1024;
 
-fn endpoints(prefix: &str, upstream: &UpstreamServer, state: &str) -> Vec<Value> {
-    (0..ENDPOINTS)
+fn endpoint_entries(prefix: &str, upstream: &UpstreamServer, state: &str) -> Vec<Value> {
+    (0..ENDPOINT_COUNT)
         .map(|n| endpoint_entry(&format!("{prefix}-{n}"), upstream.address, (n / 8) as u16, state))
         .collect()
 }
 
 #[test]
-fn a_thousand_endpoints_are_read_from_every_form_of_list_in_bounded_memory() {
+fn applies_lists_of_1024_endpoints_in_every_form_in_bounded_memory() {
     let [known, pushed, late] =
         ["known", "pushed", "late"].map(|body| UpstreamServer::new(move |_, _| ok(body)));
-    let node = Node::start(&endpoints("k", &known, "ready"));
+    let node = Node::start(&endpoint_entries("k", &known, "ready"));
     assert!(serves_every_class(&node, "known"));
     let mut watch = Watch::accept(&node.discovery);
-    watch.send_line(&list_message(42, true, &endpoints("p", &pushed, "ready")).to_string());
+    watch.send_line(&list_message(42, true, &endpoint_entries("p", &pushed, "ready")).to_string());
     wait_until("the pushed list applies", || serves_every_class(&node, "pushed"));
     let indented =
-        serde_json::to_string_pretty(&list_message(43, true, &endpoints("l", &late, "ready"))).unwrap();
-    assert!(indented.lines().count() > 8 * ENDPOINTS);
+        serde_json::to_string_pretty(&list_message(43, true, &endpoint_entries("l", &late, "ready")))
+            .unwrap();
+    assert!(indented.lines().count() > 8 * ENDPOINT_COUNT);
     watch.send_line(&indented);
     wait_until("the indented list applies", || serves_every_class(&node, "late"));
-    // A delta of all of them: they drain, and the others are back.
-    let changes = [endpoints("l", &late, "draining"), endpoints("p", &pushed, "ready")].concat();
+    // This delta names all endpoints: the current ones drain, and the previous ones are ready again.
+    let changes =
+        [endpoint_entries("l", &late, "draining"), endpoint_entries("p", &pushed, "ready")].concat();
     watch.send_line(&serde_json::to_string_pretty(&list_message(44, false, &changes)).unwrap());
     wait_until("the delta applies", || serves_every_class(&node, "pushed"));
     let memory = node.peak_memory();
-    assert!(memory < 24 << 20, "{memory} bytes for lists of {ENDPOINTS}");
+    assert!(memory < 24 << 20, "{memory} bytes for lists of {ENDPOINT_COUNT} endpoints");
 }
 
 #[test]
@@ -43,17 +45,22 @@
     let node = Node::start(&[ready_endpoint("a", &known)]);
     let snapshot = list_message(60, true, &[ready_endpoint("b", &other)]);
     let indented = serde_json::to_string_pretty(&snapshot).unwrap();
-    let half = &indented[..indented.len() / 2];
-    let in_a_string = &indented[..indented.find("\"uid\": \"").unwrap() + 8];
-    let old = list_message(40, true, &[ready_endpoint("b", &other)]).to_string();
+    let truncated = &indented[..indented.len() / 2];
+    let truncated_in_string = &indented[..indented.find("\"uid\": \"").unwrap() + 8];
+    let stale = list_message(40, true, &[ready_endpoint("b", &other)]).to_string();
     let unknown_state = snapshot.to_string().replace("\"ready\"", "\"asleep\"");
-    for bad in [&format!("{half}\n"), in_a_string, &old, &unknown_state, "}", "[[[[", "\"", "\u{0}"] {
+    for invalid in
+        [&format!("{truncated}\n"), truncated_in_string, &stale, &unknown_state, "}", "[[[[", "\"", "\u{0}"]
+    {
         let mut watch = Watch::accept(&node.discovery);
-        assert_eq!(watch.request.start_line, "GET /catalog/members?watch=1&from=41 HTTP/1.1", "before {bad}");
-        watch.send_line(bad);
-        // The truncation shows with the next empty line, which says that nothing changed.
+        assert_eq!(
+            watch.request.start_line, "GET /catalog/members?watch=1&from=41 HTTP/1.1",
+            "before {invalid}"
+        );
+        watch.send_line(invalid);
+        // A truncated list is detected at the next empty line, which is sent only between lists.
         watch.send_line("");
-        assert!(serves_every_class(&node, "known"), "after {bad}");
+        assert!(serves_every_class(&node, "known"), "after {invalid}");
     }
     let mut watch = Watch::accept(&node.discovery);
     // A snapshot may be sent twice.
@@ -77,7 +84,7 @@
         connections.insert(two.next_request().0);
     }
     assert_eq!(one.request_count(), before);
-    // A snapshot without an endpoint means that it is gone.
+    // An endpoint that is missing from a snapshot is gone.
     watch.send_line(&list_message(50, true, &[ready_endpoint("a", &one)]).to_string());
     for _ in connections {
         two.next_closed_connection();
--- a/tests/unit/discovery_backoff.rs
+++ b/tests/unit/discovery_backoff.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// The delays after 64 failures, each of a watch that took so long and the last of so many in a row.
+/// Returns 64 delays after this number of consecutive failures, the last of a watch that lasted `elapsed`.
 fn sample_delays(failures: u32, elapsed: Duration) -> Vec<Duration> {
     let mut backoff = Backoff::new(7);
     for _ in 0..failures {
@@ -11,13 +11,13 @@
     (0..64).map(|_| backoff.next_delay(elapsed)).collect()
 }
 
-/// The least and the most of the delays, in milliseconds.
+/// Returns the minimum and the maximum of the delays, in milliseconds.
 fn range_ms(delays: &[Duration]) -> (u128, u128) {
     (delays.iter().min().unwrap().as_millis(), delays.iter().max().unwrap().as_millis())
 }
 
 #[test]
-fn the_delay_grows_with_the_first_four_failures_and_varies_up_to_its_double() {
+fn delay_grows_over_the_first_four_failures_and_jitter_at_most_doubles_it() {
     for (failures, min_delay_ms) in [(1, 150), (2, 300), (3, 450), (4, 600), (5, 600), (1000, 600)] {
         let (min, max) = range_ms(&sample_delays(failures, Duration::ZERO));
         assert!((min_delay_ms..min_delay_ms + 20).contains(&min), "{failures} failures: {min} ms");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_failed_watch_and_the_delay_behind_it_stay_within_the_longest_cycle() {
+fn failed_watch_and_delay_stay_within_the_maximum_reconnect_interval() {
     for elapsed in [700, 1000, 1400].map(Duration::from_millis) {
         let longest = sample_delays(4, elapsed).into_iter().max().unwrap();
         assert!(elapsed + longest < MAX_RECONNECT_INTERVAL, "{elapsed:?} and {longest:?}");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_delay_after_a_watch_that_took_the_whole_cycle_is_the_shortest_one() {
+fn delay_is_shortest_after_a_watch_that_used_up_the_reconnect_interval() {
     for elapsed in [1400, 1700, 60_000].map(Duration::from_millis) {
         let (min, max) = range_ms(&sample_delays(4, elapsed));
         assert!((150..170).contains(&min) && max < 300, "{elapsed:?}: {min} to {max} ms");
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn only_the_first_failure_behind_a_success_is_the_first_of_its_row() {
+fn reports_only_the_first_failure_after_a_success_as_the_first() {
     let mut backoff = Backoff::new(7);
     assert!(backoff.record_failure());
     assert!(!backoff.record_failure());
