--- a/src/node/engine/actions.rs
+++ b/src/node/engine/actions.rs
@@ -1,4 +1,4 @@
-//! Carrying out the balancer's actions.
+//! Execution of the balancer's actions.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -24,8 +24,8 @@
         }
     }
 
-    /// Starts an attempt in a task of its own. Nothing is sent for a request that is answered already, but
-    /// the balancer still has to be notified of the attempt's end.
+    /// Starts an attempt in its own task. If the request is already answered, the task sends nothing, but the
+    /// balancer still has to be notified of the end of the attempt.
     fn start_attempt(&mut self, id: RequestId, endpoint: EndpointId, begin_by: Option<Timestamp>) {
         let sent_at = self.clock.now();
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -57,7 +57,7 @@
         self.answer(id, FinalAnswer::Failed { timed_out });
     }
 
-    /// Cancels an attempt, unless its response is already being passed on: then it is the client's.
+    /// Cancels an attempt, unless its response is already being forwarded to the client.
     fn cancel_attempt(&mut self, id: AttemptId) {
         let request = self.requests.get(&id.request);
         let attempt = request.and_then(|request| request.attempt(id.number));
--- a/src/node/engine/attempts.rs
+++ b/src/node/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! The ends of attempts and requests.
+//! Responses to attempts, and the ends of attempts and requests.
 
 use hyper::Response;
 use mothspool::{AttemptResult, Event, Outcome, RequestId};
@@ -10,8 +10,8 @@
 use crate::upstream::StreamingResponse;
 
 impl Engine {
-    /// Passes on a response that has begun. If the request is answered already, this one is of no use: the
-    /// attempt ends, and its connection with it.
+    /// Answers a request with a response that has started and is still streaming. If the request is already
+    /// answered, the attempt ends as cancelled, and its connection is closed.
     pub(super) fn start_response(&mut self, id: AttemptId, response: Response<StreamingResponse>) {
         let now = self.clock.now();
         let handle = self.handle.clone();
@@ -34,8 +34,8 @@
         self.end_attempt(id, Outcome::Served);
     }
 
-    /// Notifies the balancer of an attempt's end, once: what the task of a cancelled one still reports is
-    /// ignored.
+    /// Notifies the balancer of the end of an attempt, once. Later reports from the task of a cancelled
+    /// attempt are ignored.
     pub(super) fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) {
         let now = self.clock.now();
         let Some(request) = self.requests.get_mut(&id.request) else { return };
@@ -46,8 +46,8 @@
         if !attempt.end() {
             return;
         }
-        // The endpoint's time: from the client's last byte, if that came after the sending, to the response's
-        // first.
+        // The response time of the endpoint starts when the attempt was sent or when the client's last byte
+        // was received, whichever is later, and lasts until the response starts.
         let began_at = attempt.sent_at.max(received_at);
         let elapsed = attempt.response_started_at.unwrap_or(now).saturating_duration_since(began_at);
         request.has_timed_out |= outcome == Outcome::TimedOut;
@@ -60,8 +60,8 @@
         }));
     }
 
-    /// Ends the attempts that have not been written, or not completely, of a request that needs no answer any
-    /// more. To cancel an attempt that an endpoint has may not be allowed; this is merely not sending it.
+    /// Ends those attempts of an answered request that have not been written, or not completely. Cancelling
+    /// an attempt that an endpoint has received may not be allowed, but these attempts are merely not sent.
     pub(super) fn end_unwritten_attempts(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id).filter(|request| request.is_answered()) else { return };
         for attempt in request.unwritten_attempts(id) {
@@ -69,17 +69,17 @@
         }
     }
 
-    /// Gives a request its final answer, unless it has one.
+    /// Gives a request its final answer, unless it already has one.
     pub(super) fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
         if let Some(client) = self.requests.get_mut(&id).and_then(ActiveRequest::take_answer_sender) {
-            // A client that is disconnecting right now receives no answer. Its `ClientDisconnected` then
-            // finds the request answered.
+            // Sending fails if the client is just disconnecting. Its `ClientDisconnected` then finds the
+            // request answered.
             let _ = client.send(answer);
         }
         self.remove_if_finished(id);
     }
 
-    /// Forgets a request that is answered and has no attempt running.
+    /// Removes a request that is answered and has no running attempt.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(ActiveRequest::is_finished)
             && let Some(timer) = self.requests.remove(&id).and_then(|request| request.timer)
--- a/src/node/engine/clock.rs
+++ b/src/node/engine/clock.rs
@@ -1,12 +1,12 @@
-//! The balancer's clock.
+//! The clock of the balancer.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use mothspool::Timestamp;
 use tokio::time::Instant;
 
-/// Unix time as it was at the start, advanced by the monotonic clock: it compares with the start times of
-/// endpoints, which are Unix time, and yet never runs backwards.
+/// Unix time at the start of the clock, advanced by the monotonic clock. It can be compared with the start
+/// times of endpoints, which are in Unix time, and never runs backwards.
 #[derive(Clone, Copy)]
 pub(super) struct Clock {
     start_instant: Instant,
@@ -15,23 +15,24 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at the current Unix time.
     pub(super) fn start() -> Clock {
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start_instant: Instant::now(), start_time: Timestamp::default() + unix_time }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub(super) fn now(&self) -> Timestamp {
         self.timestamp(Instant::now())
     }
 
-    /// The time at an instant of the runtime's clock that is not before the start.
+    /// Converts an instant of the runtime's clock, which must not be before the start of this clock, to a time.
     pub(super) fn timestamp(&self, instant: Instant) -> Timestamp {
         self.start_time + instant.saturating_duration_since(self.start_instant)
     }
 
-    /// The instant of the runtime's clock at a time; the start, if the time is before it.
+    /// Converts a time to an instant of the runtime's clock. A time before the
+    /// start of this clock gives its start.
     pub(super) fn instant(&self, time: Timestamp) -> Instant {
         self.start_instant + time.saturating_duration_since(self.start_time)
     }
--- a/src/node/engine/event.rs
+++ b/src/node/engine/event.rs
@@ -1,4 +1,4 @@
-//! What the other parts of the node report to the engine, and the one answer that it gives to a request.
+//! Events that other parts of the node send to the engine, and the final answer that it gives to a request.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,30 +10,30 @@
 use crate::body::ResponseBody;
 use crate::upstream::{StreamingResponse, UpstreamRequest};
 
-/// Names one attempt of one request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// The attempt's number within its request, from 0 in the order in which they were sent.
+    /// Number of the attempt within its request: 0 for the first one sent.
     pub number: AttemptNumber,
 }
 
-/// What the engine is notified of.
+/// An event for the engine.
 pub enum EngineEvent {
-    /// An event that only the balancer acts on: an endpoint list, maintenance, the progress of a request
+    /// An event that only the balancer handles: an endpoint list, maintenance, or the progress of a request
     /// body.
     Balancer(Event),
-    /// The node has accepted a request and owes it a [`FinalAnswer`].
+    /// The node has accepted a request and must give it a [`FinalAnswer`].
     RequestArrived {
-        /// What the balancer decides by.
+        /// Properties that the balancer uses.
         request: Request,
-        /// What is sent to an endpoint.
+        /// The request as it is sent to endpoints.
         upstream_request: Rc<UpstreamRequest>,
-        /// Takes the final answer.
+        /// Sender for the final answer.
         answer_sender: oneshot::Sender<FinalAnswer>,
     },
-    /// The client has closed its connection; no answer is owed any more.
+    /// The client has closed its connection, so the request needs no answer any more.
     ClientDisconnected(RequestId),
     /// An attempt has ended without a response for the client, or its streaming response has ended.
     AttemptEnded {
@@ -49,7 +49,7 @@
         /// The response.
         response: Response<ResponseBody>,
     },
-    /// The 200 response to an attempt has begun; its body is still to come.
+    /// The 200 response to an attempt has started; its body is not complete yet.
     ResponseStarted {
         /// The attempt.
         attempt: AttemptId,
@@ -58,16 +58,16 @@
     },
 }
 
-/// The one final answer to a request.
+/// The final answer to a request. Each request gets only one.
 pub enum FinalAnswer {
     /// The first 200 response of an endpoint, complete or streaming.
     Served(Response<ResponseBody>),
-    /// Rejected: the request was not executed, or a retry of it is harmless.
+    /// The request is rejected: it was not executed, or a retry of it is harmless.
     Rejected {
-        /// How long the client should wait before it retries, if the balancer says so.
+        /// How long the client should wait before a retry, if the balancer gives a time.
         retry_after: Option<Duration>,
     },
-    /// Failed, without any promise whether the request was executed.
+    /// The request has failed. It may or may not have been executed.
     Failed {
         /// Whether an attempt had timed out or was still running.
         timed_out: bool,
--- a/src/node/engine/handle.rs
+++ b/src/node/engine/handle.rs
@@ -1,4 +1,4 @@
-//! The other parts' way to the engine.
+//! The handle through which other parts of the node send events to the engine.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,10 +9,10 @@
 use super::event::EngineEvent;
 use crate::upstream::{ListedEndpoint, UpstreamPool};
 
-/// The highest bits of request ids, which stay 0: the balancer's own timer tokens have them set.
+/// Number of highest bits of request ids that stay 0. The balancer's own timer tokens have them set.
 const RESERVED_ID_BITS: u32 = 2;
 
-/// Sends events to the engine. What must take effect at once for running attempts is applied to the
+/// Sends events to the engine. A change that must affect running attempts at once is applied to the
 /// connection pool before the balancer is notified of it.
 #[derive(Clone)]
 pub struct EngineHandle {
@@ -22,24 +22,26 @@
 }
 
 impl EngineHandle {
-    /// A handle, and the events for the engine to receive. The channel needs no bound: it holds only the few
-    /// events that each open connection causes.
+    /// Creates a handle, and the receiver of its events for the engine. The channel is unbounded, because it
+    /// holds only the few events that each open connection causes.
     pub fn new(
         seed: u64,
         upstream: Rc<UpstreamPool>,
     ) -> (EngineHandle, mpsc::UnboundedReceiver<EngineEvent>) {
         let (events, receiver) = mpsc::unbounded_channel();
-        // The balancer hashes request ids with endpoints: nodes must not all count from the same number.
+        // The balancer hashes request ids with endpoints, so nodes must not all count from the same number.
         let next_request_id = Rc::new(Cell::new(seed >> RESERVED_ID_BITS));
         (EngineHandle { events, next_request_id, upstream }, receiver)
     }
 
-    /// Notifies the engine. When the process ends there may be none any more; the event is dropped then.
+    /// Sends an event to the engine. It is dropped if there is no engine any more, because the process is
+    /// ending.
     pub fn send(&self, event: EngineEvent) {
         let _ = self.events.send(event);
     }
 
-    /// A new request id, unique in this process; a client may use the same `Req-Id` twice.
+    /// Returns a new request id. It is unique in this process, unlike a `Req-Id`, which a client may use
+    /// twice.
     pub fn next_request_id(&self) -> RequestId {
         self.next_request_id.replace(self.next_request_id.get() + 1)
     }
@@ -58,30 +60,30 @@
         }));
     }
 
-    /// Whether an endpoint list has ever named this endpoint.
+    /// Returns whether an endpoint list has ever named this endpoint.
     pub fn is_known(&self, endpoint: EndpointId) -> bool {
         self.upstream.is_known(endpoint)
     }
 
-    /// From now on nothing new is sent to this endpoint, whatever endpoint lists say.
+    /// Stops sending new requests to this endpoint, whatever endpoint lists say.
     pub fn enter_maintenance(&self, endpoint: EndpointId) {
         self.upstream.enter_maintenance(endpoint);
         self.send(EngineEvent::Balancer(Event::EnterMaintenance(endpoint)));
     }
 
-    /// This endpoint takes requests again, as one that started at `started_at` (Unix time).
+    /// Allows requests to this endpoint again. It counts as started at `started_at` (Unix time).
     pub fn exit_maintenance(&self, endpoint: EndpointId, started_at: Timestamp) {
         self.upstream.exit_maintenance(endpoint);
         self.send(EngineEvent::Balancer(Event::ExitMaintenance(endpoint, started_at)));
     }
 }
 
-/// What an endpoint list contains.
+/// Kind of an endpoint list.
 #[derive(Clone, Copy, PartialEq)]
 pub enum ListKind {
-    /// All endpoints as they were known before the start; it may be out of date.
+    /// All endpoints as they were known before the start; may be out of date.
     Cached,
-    /// All endpoints; one that is missing is gone.
+    /// All endpoints; an endpoint that is missing is gone.
     Snapshot,
     /// The endpoints that have changed.
     Delta,
--- a/src/node/engine/mod.rs
+++ b/src/node/engine/mod.rs
@@ -1,7 +1,6 @@
-//! The engine: the one owner of the balancer, of its clock and timers, and of the table of active requests.
+//! The engine, which owns the balancer, its clock and timers, and the table of active requests.
 //!
-//! Events on sockets are received as [`EngineEvent`]s; the balancer's actions are carried out here, and
-//! nowhere else.
+//! It receives events on sockets as [`EngineEvent`]s. The balancer's actions are executed only here.
 
 mod actions;
 mod attempts;
@@ -24,13 +23,13 @@
 use self::timers::Timers;
 use crate::upstream::{UpstreamPool, UpstreamRequest};
 
-/// Owns the balancer and carries out its actions.
+/// Owns the balancer and executes its actions.
 pub struct Engine {
     balancer: Balancer,
     upstream: Rc<UpstreamPool>,
-    /// For the tasks of attempts.
+    /// Handle for the tasks of attempts.
     handle: EngineHandle,
-    /// Notified when the balancer wants discovery to begin its watch.
+    /// Notified when the balancer requests the watch on discovery.
     subscribe: Rc<Notify>,
     clock: Clock,
     timers: Timers,
@@ -40,7 +39,7 @@
 }
 
 impl Engine {
-    /// An engine around `balancer`, which sends requests through `upstream`.
+    /// Creates an engine that runs `balancer` and sends requests through `upstream`.
     pub fn new(
         balancer: Balancer,
         upstream: Rc<UpstreamPool>,
@@ -59,7 +58,7 @@
         }
     }
 
-    /// Handles events and timers for as long as there is an [`EngineHandle`].
+    /// Handles events and timers as long as an [`EngineHandle`] exists.
     pub async fn run(mut self, mut events: mpsc::UnboundedReceiver<EngineEvent>) {
         loop {
             tokio::select! {
@@ -97,7 +96,7 @@
     }
 
     fn on_client_disconnected(&mut self, id: RequestId) {
-        // One that has its answer is finished for the balancer.
+        // For the balancer, a request that has its final answer is already finished.
         if self.requests.get_mut(&id).and_then(ActiveRequest::take_answer_sender).is_some() {
             self.pending_events.push_back(Event::ClientDisconnected(id));
         }
@@ -113,8 +112,7 @@
         self.pending_events.push_back(Event::TimerFired(token));
     }
 
-    /// Lets the balancer handle all pending events, and carries out its actions. These may add further
-    /// events.
+    /// Lets the balancer handle all pending events and executes its actions, which may add further events.
     fn run_balancer(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.pending_events.pop_front() {
@@ -131,7 +129,7 @@
     }
 }
 
-/// The request that may have got its answer, or lost its last attempt, by this event.
+/// Returns the request that this event may have answered, or whose last attempt it may have ended.
 fn request_that_may_end(event: &Event) -> Option<RequestId> {
     match event {
         Event::ClientDisconnected(id)
--- a/src/node/engine/requests.rs
+++ b/src/node/engine/requests.rs
@@ -1,4 +1,4 @@
-//! The requests that have not ended, and their attempts.
+//! The active requests and their attempts.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -12,24 +12,24 @@
 use super::timers::RequestTimer;
 use crate::upstream::UpstreamRequest;
 
-/// The requests that have not ended, by id.
+/// The active requests, by id.
 pub(super) type RequestTable = HashMap<RequestId, ActiveRequest>;
 
 /// A request that has no final answer yet, or still has attempts running.
 pub(super) struct ActiveRequest {
     pub(super) upstream_request: Rc<UpstreamRequest>,
-    /// Taken once the final answer is given or the client has disconnected.
+    /// Taken when the final answer is given or the client has disconnected.
     answer_sender: Option<oneshot::Sender<FinalAnswer>>,
-    /// In the order in which they were sent.
+    /// Attempts in the order in which they were sent.
     attempts: Vec<Attempt>,
     /// Whether an attempt has timed out.
     pub(super) has_timed_out: bool,
-    /// When the balancer wants to re-evaluate the request.
+    /// Timer for the balancer's next re-evaluation of the request.
     pub(super) timer: Option<RequestTimer>,
 }
 
 impl ActiveRequest {
-    /// A request without attempts.
+    /// Creates a request without attempts.
     pub(super) fn new(
         upstream_request: Rc<UpstreamRequest>,
         answer_sender: oneshot::Sender<FinalAnswer>,
@@ -43,27 +43,27 @@
         }
     }
 
-    /// Whether no final answer is owed any more.
+    /// Returns whether the request needs no final answer any more.
     pub(super) fn is_answered(&self) -> bool {
         self.answer_sender.is_none()
     }
 
-    /// Takes the way to the client; nothing if no answer is owed any more.
+    /// Takes the sender for the final answer. Returns `None` if no answer is needed any more.
     pub(super) fn take_answer_sender(&mut self) -> Option<oneshot::Sender<FinalAnswer>> {
         self.answer_sender.take()
     }
 
-    /// Whether an attempt is still running.
+    /// Returns whether an attempt is still running.
     pub(super) fn has_running_attempt(&self) -> bool {
         self.attempts.iter().any(Attempt::is_running)
     }
 
-    /// Whether nothing is left to do for it.
+    /// Returns whether the request is answered and has no running attempt.
     pub(super) fn is_finished(&self) -> bool {
         self.is_answered() && !self.has_running_attempt()
     }
 
-    /// The number of the attempt that is added next.
+    /// Returns the number that the next added attempt gets.
     pub(super) fn next_attempt_number(&self) -> AttemptNumber {
         self.attempts.len() as AttemptNumber
     }
@@ -73,17 +73,18 @@
         self.attempts.push(attempt);
     }
 
-    /// One of its attempts.
+    /// Returns the attempt with this number.
     pub(super) fn attempt(&self, number: AttemptNumber) -> Option<&Attempt> {
         self.attempts.get(usize::from(number))
     }
 
-    /// One of its attempts, to be changed.
+    /// Returns the attempt with this number as mutable.
     pub(super) fn attempt_mut(&mut self, number: AttemptNumber) -> Option<&mut Attempt> {
         self.attempts.get_mut(usize::from(number))
     }
 
-    /// The running attempts of which nothing has been written to a socket, or no complete request.
+    /// Returns the running attempts that no endpoint can have received completely: nothing of them has been
+    /// written to a socket, or the client has not sent the whole request yet.
     pub(super) fn unwritten_attempts(&self, request: RequestId) -> Vec<AttemptId> {
         let is_incomplete = self.upstream_request.received_at().is_none();
         let is_unwritten =
@@ -97,29 +98,29 @@
 /// One attempt of a request.
 pub(super) struct Attempt {
     pub(super) sent_at: Timestamp,
-    /// Whether some of it may be on a socket; set by the attempt's task.
+    /// Whether some of the attempt may have been written to a socket; set by its task.
     may_be_written: Rc<Cell<bool>>,
-    /// When its response began to be passed on: from then on the attempt is the client's.
+    /// When forwarding of its response to the client started. After that, the balancer can't cancel it.
     pub(super) response_started_at: Option<Timestamp>,
-    /// Taken once the balancer has been notified of its end.
+    /// Taken when the balancer is notified of the end of the attempt.
     task: Option<AbortHandle>,
 }
 
 impl Attempt {
-    /// An attempt that `task` carries out.
+    /// Creates an attempt that `task` executes.
     pub(super) fn new(sent_at: Timestamp, may_be_written: Rc<Cell<bool>>, task: AbortHandle) -> Attempt {
         Attempt { sent_at, may_be_written, response_started_at: None, task: Some(task) }
     }
 
-    /// Whether the balancer still waits for its end.
+    /// Returns whether the balancer still waits for the end of the attempt.
     pub(super) fn is_running(&self) -> bool {
         self.task.is_some()
     }
 
-    /// Ends it and its task. Returns whether it was running.
+    /// Ends the attempt and its task. Returns whether it was running.
     pub(super) fn end(&mut self) -> bool {
         let Some(task) = self.task.take() else { return false };
-        // A task that has ended by itself ignores this.
+        // This has no effect on a task that has already ended.
         task.abort();
         true
     }
--- a/src/node/engine/timers.rs
+++ b/src/node/engine/timers.rs
@@ -9,19 +9,19 @@
 
 use crate::config::MAX_DEADLINE;
 
-/// The longest delay of a timer. The queue panics at delays of more than about two years, and no request
-/// waits longer than the longest deadline. A timer that fires early makes the balancer re-evaluate early,
-/// which does no harm.
+/// Maximum delay of a timer. [`DelayQueue`] panics on delays of more than about two years, and no request
+/// waits longer than [`MAX_DEADLINE`]. A timer that fires too early does no harm: the balancer only
+/// re-evaluates early.
 const MAX_DELAY: Duration = MAX_DEADLINE;
 
-/// The one pending timer of a request.
+/// The pending timer of a request.
 pub(super) struct RequestTimer {
     key: Key,
     due_at: Timestamp,
 }
 
 impl RequestTimer {
-    /// Whether it is due, and so has fired or is about to.
+    /// Returns whether the timer is due: it has fired or is about to fire.
     pub(super) fn is_due(&self, now: Timestamp) -> bool {
         self.due_at <= now
     }
@@ -34,12 +34,12 @@
 }
 
 impl Timers {
-    /// Whether no timer is pending.
+    /// Returns whether no timer is pending.
     pub(super) fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// Waits for the next timer; `None` if there is none.
+    /// Waits for the next timer and returns its token. Returns `None` if no timer is pending.
     pub(super) async fn next(&mut self) -> Option<TimerToken> {
         poll_fn(|cx| self.queue.poll_expired(cx)).await.map(Expired::into_inner)
     }
@@ -49,8 +49,9 @@
         self.queue.insert(token, delay.min(MAX_DELAY));
     }
 
-    /// Sets the timer of a request. Its pending one is moved: the balancer sets another one only for an
-    /// earlier time, so one timer is enough. One that is due already still fires, besides the new one.
+    /// Sets the timer of a request. A pending timer is moved: the balancer sets another one only for an
+    /// earlier time, so one timer is enough. A timer that is already due still fires, in addition to the new
+    /// one.
     pub(super) fn set_for_request(
         &mut self,
         timer: &mut Option<RequestTimer>,
@@ -70,7 +71,7 @@
         *timer = Some(RequestTimer { key, due_at });
     }
 
-    /// Cancels a request's timer; one that has fired needs no cancelling.
+    /// Cancels the timer of a request. Has no effect on a timer that has already fired.
     pub(super) fn cancel(&mut self, timer: &RequestTimer) {
         self.queue.try_remove(&timer.key);
     }
--- a/src/node/protocol/headers.rs
+++ b/src/node/protocol/headers.rs
@@ -1,21 +1,22 @@
-//! The headers of the protocol that the node reads or writes itself.
+//! Headers that the node itself reads or writes.
 
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// `Req-Id`: identifies a request; fresh on every request, a client's retry included.
+/// `Req-Id`: identifies a request. Every request has a new one, including a client's retry.
 pub const REQ_ID: HeaderName = HeaderName::from_static("req-id");
-/// `Idempotency-Key`: the key by which endpoints recognise a retry, where the class has one.
+/// `Idempotency-Key`: the key by which endpoints recognise a retry, in classes that have one.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// `Req-Deadline`: how long the sender waits for the response, in seconds with decimals.
 pub const REQ_DEADLINE: HeaderName = HeaderName::from_static("req-deadline");
-/// `Req-Owner`: the tenant, named as in the settings.
+/// `Req-Owner`: the name of the tenant in the settings.
 pub const REQ_OWNER: HeaderName = HeaderName::from_static("req-owner");
-/// `Req-Cost`: an estimate of the work, in microseconds.
+/// `Req-Cost`: the estimated work, in microseconds.
 pub const REQ_COST: HeaderName = HeaderName::from_static("req-cost");
 /// `Srv-Declined`: with the value `1` on a response, the endpoint rejected the request without executing it.
 pub const SRV_DECLINED: HeaderName = HeaderName::from_static("srv-declined");
 
-/// The headers that are about one connection, or the framing of a message on it, whatever `Connection` says.
+/// Headers that concern one connection, or the framing of a message on it, even if `Connection` does not name
+/// them.
 const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -28,8 +29,8 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Removes the headers that are about one connection and not about the message: the fixed ones, and those
-/// that `Connection` names.
+/// Removes the headers that concern one connection and not the message: those in [`HOP_BY_HOP_HEADERS`], and
+/// those that `Connection` names.
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     for name in connection_options(headers) {
         headers.remove(name);
@@ -39,8 +40,9 @@
     }
 }
 
-/// The headers that `Connection` names. It can't name those that identify the request: without its key a
-/// request would be executed twice, whatever a client says of its connection.
+/// Returns the headers that `Connection` names, except those that identify the request. Without its
+/// idempotency key, a request could be executed twice, so these headers are forwarded even if a client names
+/// them there.
 fn connection_options(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(header::CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
--- a/src/node/protocol/mod.rs
+++ b/src/node/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! What the protocol's pages define: names of headers and the form of endpoint lists. Imports nothing of the
+//! Definitions of the protocol: header names and the format of endpoint lists. Imports no other module of the
 //! node.
 
 pub mod endpoint_list;
--- a/src/node/protocol/named_field.rs
+++ b/src/node/protocol/named_field.rs
@@ -1,8 +1,8 @@
-//! Names of fields in the errors of `serde`, which says by itself what is wrong and where, but not with which
+//! Field names in the errors of `serde`, which by themselves state the cause and the position, but not the
 //! field.
 
-/// Defines, for each of the fields, a function for `#[serde(deserialize_with = "...")]` that accepts what the
-/// field's type accepts, and names the field in its errors.
+/// Defines a function for each field, for use in `#[serde(deserialize_with = "...")]`. It deserializes the
+/// type of the field and adds the field's name to errors.
 macro_rules! named_fields {
     ($($field:ident),+ $(,)?) => {$(
         pub(super) fn $field<'de, D, T>(deserializer: D) -> Result<T, D::Error>
--- a/src/node/upstream/endpoints.rs
+++ b/src/node/upstream/endpoints.rs
@@ -1,4 +1,4 @@
-//! The directory of endpoints: which ones may be sent requests, and where they are.
+//! The directory of endpoints: which endpoints may be sent requests, and their addresses.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -8,16 +8,16 @@
 use super::connection::Incarnation;
 use super::idle::IdleConnections;
 
-/// An endpoint as a list names it.
+/// An endpoint as described by an endpoint list.
 #[derive(Clone, Copy)]
 pub struct ListedEndpoint {
-    /// What the balancer decides by.
+    /// Properties that the balancer uses.
     pub info: EndpointInfo,
-    /// Where this node reaches it.
+    /// Address at which this node reaches the endpoint.
     pub address: SocketAddr,
 }
 
-/// An endpoint that the endpoint list says is ready.
+/// An endpoint that is ready according to the endpoint list.
 struct Endpoint {
     incarnation: Incarnation,
     idle: IdleConnections,
@@ -28,48 +28,49 @@
         Endpoint { incarnation, idle: IdleConnections::new() }
     }
 
-    /// Whether it has the same address and start time. The maintenance epoch does not matter: it is no
-    /// property of the process.
+    /// Returns whether the address and the start time are the same. The maintenance epoch is ignored, because
+    /// it is not a property of the process.
     fn is_same_process(&self, other: &Incarnation) -> bool {
         (self.incarnation.address, self.incarnation.started_at) == (other.address, other.started_at)
     }
 }
 
-/// All ready endpoints, with their idle connections, and what operators have ordered about endpoints.
+/// All ready endpoints with their idle connections, and the endpoints that operators have put in maintenance.
 #[derive(Default)]
 pub struct EndpointDirectory {
     ready: HashMap<EndpointId, Endpoint>,
-    /// All that a list has ever named. Operators may end the maintenance of one that is gone.
+    /// All endpoints that a list has ever named. Operators may end the maintenance of an endpoint that is
+    /// gone.
     known: HashSet<EndpointId>,
     in_maintenance: HashSet<EndpointId>,
-    /// How many times maintenance has ended for any endpoint.
+    /// Number of times that maintenance has ended, over all endpoints.
     maintenance_epoch: u64,
 }
 
 impl EndpointDirectory {
-    /// Whether a list has ever named this endpoint.
+    /// Returns whether a list has ever named this endpoint.
     pub fn is_known(&self, id: EndpointId) -> bool {
         self.known.contains(&id)
     }
 
-    /// Whether any endpoint is ready.
+    /// Returns whether any endpoint is ready.
     pub fn has_ready(&self) -> bool {
         !self.ready.is_empty()
     }
 
-    /// Takes in a snapshot of all endpoints: those that it does not name are gone.
+    /// Applies a snapshot of all endpoints. Endpoints that it does not name are gone.
     pub fn apply_snapshot(&mut self, list: impl Iterator<Item = ListedEndpoint>) {
         let unnamed = self.ready.keys().copied().collect();
         self.apply(list, unnamed);
     }
 
-    /// Takes in the endpoints that have changed.
+    /// Applies a delta of the endpoints that have changed.
     pub fn apply_delta(&mut self, list: impl Iterator<Item = ListedEndpoint>) {
         self.apply(list, HashSet::new());
     }
 
-    /// Takes in the entries of a list. Of an endpoint that is not ready then nothing is kept, as it is sent
-    /// nothing; `unready` are those that are not unless the list says otherwise.
+    /// Applies the records of a list, and then removes the endpoints that are not ready, because no requests
+    /// are sent to them. `unready` contains the endpoints that are not ready unless the list says otherwise.
     fn apply(&mut self, list: impl Iterator<Item = ListedEndpoint>, mut unready: HashSet<EndpointId>) {
         for endpoint in list {
             let info = endpoint.info;
@@ -84,8 +85,9 @@
         self.ready.retain(|id, _| !unready.contains(id));
     }
 
-    /// Adds an endpoint, or replaces it if it has moved or restarted: an endpoint that was unreachable and is
-    /// back does not know its old connections, and nothing on them would show that.
+    /// Adds an endpoint, or replaces it and drops its connections if it has moved or restarted. An endpoint
+    /// that was unreachable and is back does not know its old connections, and nothing on them would show
+    /// that.
     fn update(&mut self, ListedEndpoint { info, address }: ListedEndpoint) {
         let incarnation =
             Incarnation { address, started_at: info.started_at, maintenance_epoch: self.maintenance_epoch };
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Sends an endpoint nothing new from now on, whatever lists say.
+    /// Stops sending new requests to an endpoint, whatever endpoint lists say.
     pub fn enter_maintenance(&mut self, id: EndpointId) {
         self.in_maintenance.insert(id);
         if let Some(endpoint) = self.ready.get_mut(&id) {
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Sends an endpoint requests again if it is ready, on new connections only.
+    /// Allows requests to an endpoint again if it is ready, on new connections only.
     pub fn exit_maintenance(&mut self, id: EndpointId) {
         self.in_maintenance.remove(&id);
         self.maintenance_epoch += 1;
@@ -113,18 +115,18 @@
         }
     }
 
-    /// The incarnation to send requests to, if the endpoint is ready and not in maintenance.
+    /// Returns the incarnation to send requests to, if the endpoint is ready and not in maintenance.
     pub fn available(&self, id: EndpointId) -> Option<Incarnation> {
         let endpoint = self.ready.get(&id)?;
         (!self.in_maintenance.contains(&id)).then_some(endpoint.incarnation)
     }
 
-    /// The idle connections to an endpoint, if it is ready.
+    /// Returns the idle connections to an endpoint, if it is ready.
     pub fn idle_mut(&mut self, id: EndpointId) -> Option<&mut IdleConnections> {
         self.ready.get_mut(&id).map(|endpoint| &mut endpoint.idle)
     }
 
-    /// The idle connections to each endpoint.
+    /// Returns the idle connections to each ready endpoint.
     pub fn all_idle_mut(&mut self) -> impl Iterator<Item = &mut IdleConnections> {
         self.ready.values_mut().map(|endpoint| &mut endpoint.idle)
     }
