--- a/src/node/engine/clock.rs
+++ b/src/node/engine/clock.rs
@@ -26,7 +26,8 @@
         self.timestamp(Instant::now())
     }
 
-    /// Converts an instant of the runtime's clock, which must not be before the start of this clock, to a time.
+    /// Converts an instant of the runtime's clock, which must not be before the start of this clock, to a
+    /// time.
     pub(super) fn timestamp(&self, instant: Instant) -> Timestamp {
         self.start_time + instant.saturating_duration_since(self.start_instant)
     }
