--- a/src/node/engine/clock.rs
+++ b/src/node/engine/clock.rs
@@ -32,8 +32,8 @@
         self.start_time + instant.saturating_duration_since(self.start_instant)
     }
 
-    /// Converts a time to an instant of the runtime's clock. A time before the
-    /// start of this clock gives its start.
+    /// Converts a time to an instant of the runtime's clock. A time before the start of this clock gives its
+    /// start.
     pub(super) fn instant(&self, time: Timestamp) -> Instant {
         self.start_instant + time.saturating_duration_since(self.start_time)
     }
