--- a/src/node/engine/mod.rs
+++ b/src/node/engine/mod.rs
@@ -1,7 +1,6 @@
-//! The engine: the one owner of the balancer, of its clock and timers, and of the table of active requests.
+//! The engine, which owns the balancer, its clock and timers, and the table of active requests.
 //!
-//! Events on sockets are received as [`EngineEvent`]s; the balancer's actions are carried out here, and
-//! nowhere else.
+//! It receives events on sockets as [`EngineEvent`]s. The balancer's actions are executed only here.
 
 mod actions;
 mod attempts;
@@ -24,23 +23,23 @@
 use self::timers::Timers;
 use crate::upstream::{UpstreamPool, UpstreamRequest};
 
-/// Owns the balancer and carries out its actions.
+/// Owns the balancer and executes its actions.
 pub struct Engine {
     balancer: Balancer,
     upstream: Rc<UpstreamPool>,
-    /// For the tasks of attempts.
+    /// Handle for the tasks of attempts.
     handle: EngineHandle,
-    /// Notified when the balancer wants discovery to begin its watch.
+    /// Notified when the balancer requests the watch on discovery.
     subscribe: Rc<Notify>,
     clock: Clock,
     timers: Timers,
     requests: RequestTable,
     /// Events that the balancer has not handled yet.
-    pending: VecDeque<Event>,
+    pending_events: VecDeque<Event>,
 }
 
 impl Engine {
-    /// An engine around `balancer`, which sends requests through `upstream`.
+    /// Creates an engine that runs `balancer` and sends requests through `upstream`.
     pub fn new(
         balancer: Balancer,
         upstream: Rc<UpstreamPool>,
@@ -55,11 +54,11 @@
             clock: Clock::start(),
             timers: Timers::default(),
             requests: RequestTable::new(),
-            pending: VecDeque::new(),
+            pending_events: VecDeque::new(),
         }
     }
 
-    /// Handles events and timers for as long as there is an [`EngineHandle`].
+    /// Handles events and timers as long as an [`EngineHandle`] exists.
     pub async fn run(mut self, mut events: mpsc::UnboundedReceiver<EngineEvent>) {
         loop {
             tokio::select! {
@@ -75,9 +74,9 @@
 
     fn on_event(&mut self, event: EngineEvent) {
         match event {
-            EngineEvent::Balancer(event) => self.pending.push_back(event),
-            EngineEvent::RequestArrived { request, upstream_request, answer } => {
-                self.on_request(request, upstream_request, answer);
+            EngineEvent::Balancer(event) => self.pending_events.push_back(event),
+            EngineEvent::RequestArrived { request, upstream_request, answer_sender } => {
+                self.on_request(request, upstream_request, answer_sender);
             }
             EngineEvent::ClientDisconnected(request) => self.on_client_disconnected(request),
             EngineEvent::ResponseStarted { attempt, response } => self.start_response(attempt, response),
@@ -90,16 +89,16 @@
         &mut self,
         request: Request,
         upstream_request: Rc<UpstreamRequest>,
-        answer: oneshot::Sender<FinalAnswer>,
+        answer_sender: oneshot::Sender<FinalAnswer>,
     ) {
-        self.requests.insert(request.id, ActiveRequest::new(upstream_request, answer));
-        self.pending.push_back(Event::RequestArrived(request));
+        self.requests.insert(request.id, ActiveRequest::new(upstream_request, answer_sender));
+        self.pending_events.push_back(Event::RequestArrived(request));
     }
 
     fn on_client_disconnected(&mut self, id: RequestId) {
-        // One that has its answer is finished for the balancer.
-        if self.requests.get_mut(&id).and_then(ActiveRequest::take_answer).is_some() {
-            self.pending.push_back(Event::ClientDisconnected(id));
+        // For the balancer, a request that has its final answer is already finished.
+        if self.requests.get_mut(&id).and_then(ActiveRequest::take_answer_sender).is_some() {
+            self.pending_events.push_back(Event::ClientDisconnected(id));
         }
     }
 
@@ -110,14 +109,13 @@
         {
             request.timer.take_if(|timer| timer.is_due(now));
         }
-        self.pending.push_back(Event::TimerFired(token));
+        self.pending_events.push_back(Event::TimerFired(token));
     }
 
-    /// Lets the balancer handle all pending events, and carries out its actions. These may add further
-    /// events.
+    /// Lets the balancer handle all pending events and executes its actions, which may add further events.
     fn run_balancer(&mut self) {
         let mut actions = Vec::new();
-        while let Some(event) = self.pending.pop_front() {
+        while let Some(event) = self.pending_events.pop_front() {
             let request = request_that_may_end(&event);
             self.balancer.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
@@ -131,7 +129,7 @@
     }
 }
 
-/// The request that may have got its answer, or lost its last attempt, by this event.
+/// Returns the request that this event may have answered, or whose last attempt it may have ended.
 fn request_that_may_end(event: &Event) -> Option<RequestId> {
     match event {
         Event::ClientDisconnected(id)
