--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -13,13 +13,13 @@
 
 /// A request that was not executed leaves the queue after this part of its time: the protocol charges for
 /// those that are rejected after more than half of it.
-const MAX_QUEUE_FRACTION: f64 = 0.45;
+const MAX_QUEUE_TIME_FRACTION: f64 = 0.45;
 /// A request is answered so many steps of the clock before its client stops waiting.
-const ABANDON_CLOCK_STEPS: u32 = 2;
+const ANSWER_MARGIN_TICKS: u32 = 2;
 
 impl Balancer {
     /// Queues a request and sends it if there is capacity, or sheds it.
-    pub(super) fn request_arrived(&mut self, request: Request) {
+    pub(super) fn on_request_arrived(&mut self, request: Request) {
         let (id, now) = (request.id, self.now);
         let Some(class) = self.settings.classes.get(request.class) else {
             return self.actions.push(Action::Reject { request: id, retry_after: Duration::ZERO });
@@ -28,19 +28,19 @@
         let within_quota = self.admission.take_quota(request.tenant, now);
         let entry = QueuedRequest { id, class: request.class, within_quota, objective_at };
         let pool = pool_of(request.tenant, self.label_salt);
-        let margin = self.settings.clock_granularity.saturating_mul(ABANDON_CLOCK_STEPS);
-        let abandon_at = now + request.remaining.saturating_sub(margin);
-        let queue_us = as_micros_f64(request.remaining) * MAX_QUEUE_FRACTION;
+        let margin = self.settings.clock_granularity.saturating_mul(ANSWER_MARGIN_TICKS);
+        let answer_deadline = now + request.remaining.saturating_sub(margin);
+        let queue_us = as_micros_f64(request.remaining) * MAX_QUEUE_TIME_FRACTION;
         let queue_until = now + duration_from_micros_f64(queue_us);
         let affinity_key = request.affinity_key;
-        let rest = ActiveRequest { queued: true, ..ActiveRequest::default() };
+        let defaults = ActiveRequest { queued: true, ..ActiveRequest::default() };
         self.queues[pool].push(entry);
-        let active = ActiveRequest { entry, pool, affinity_key, abandon_at, queue_until, ..rest };
+        let active = ActiveRequest { entry, pool, affinity_key, answer_deadline, queue_until, ..defaults };
         self.requests.insert(id, active);
         // One that arrives with no time left must not be sent: its answer would be late in any case.
         let visibility = self.concurrency.local_load_visibility();
         let admission = self.admission.probability(now, &entry, &self.latencies, visibility);
-        if abandon_at <= now || self.random.f64() >= admission {
+        if answer_deadline <= now || self.random.f64() >= admission {
             return self.reject_or_fail(id);
         }
         self.dispatch();
@@ -48,10 +48,10 @@
     }
 
     /// Sends a request to endpoint `i`.
-    pub(super) fn send(&mut self, id: RequestId, i: usize) {
+    pub(super) fn send(&mut self, id: RequestId, endpoint_index: usize) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let begin_by = retry_deadline(&self.settings, request);
-        let endpoint = &mut self.table.endpoints[i];
+        let endpoint = &mut self.table.endpoints[endpoint_index];
         endpoint.in_flight += 1;
         endpoint.last_sent = self.now;
         self.table.maintenance.probed(endpoint.info.id);
@@ -63,7 +63,7 @@
 
     /// Learns from the end of an attempt; then the request is finished, queued again or given its final
     /// answer.
-    pub(super) fn attempt_ended(&mut self, result: AttemptResult) {
+    pub(super) fn on_attempt_ended(&mut self, result: AttemptResult) {
         let (id, outcome) = (result.request, result.outcome);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.attempt_in_flight(result.attempt) else { return };
@@ -75,7 +75,7 @@
             self.hedges.record(result.attempt > 0);
         }
         let entry = request.entry;
-        self.learn(&entry, ended, outcome, result.elapsed);
+        self.record_outcome(&entry, ended, outcome, result.elapsed);
         if self.requests[&id].finished {
             self.finish(id);
         } else if !self.requeue(id) {
@@ -92,7 +92,7 @@
         }
         let info = |i: &usize| &self.table.endpoints[*i].info;
         let may_send_to = |i: &usize| may_send(&self.settings, request, info(i), self.now);
-        if !self.members(request.pool).iter().any(may_send_to) || self.now >= request.abandon_at {
+        if !self.members(request.pool).iter().any(may_send_to) || self.now >= request.answer_deadline {
             return false;
         }
         self.queues[request.pool].push(request.entry);
@@ -120,11 +120,11 @@
         let Some(request) = self.requests.get(&id) else { return };
         let (entry, not_executed) = (&request.entry, request.not_executed());
         // What would return into the same overload, and too late, is asked to stay away.
-        let stay_away = !entry.within_quota || not_executed && self.would_be_late(entry);
-        let retry_after = if stay_away { self.settings.max_retry_after } else { Duration::ZERO };
-        let harmless = not_executed || self.settings.classes[entry.class].idempotency.client_may_retry();
+        let delay_retry = !entry.within_quota || not_executed && self.would_be_late(entry);
+        let retry_after = if delay_retry { self.settings.max_retry_after } else { Duration::ZERO };
+        let may_reject = not_executed || self.settings.classes[entry.class].idempotency.client_may_retry();
         let rejection = Action::Reject { request: id, retry_after };
-        self.actions.push(if harmless { rejection } else { Action::Fail(id) });
+        self.actions.push(if may_reject { rejection } else { Action::Fail(id) });
         self.finish(id);
     }
 
--- a/src/balancer/feedback.rs
+++ b/src/balancer/feedback.rs
@@ -12,7 +12,13 @@
     /// Learns from the end of an attempt. The response of an endpoint that was not executing it any more, or
     /// not yet, does not tell how fast the endpoint is; nor does what was sent before its return from
     /// maintenance.
-    pub(super) fn learn(&mut self, entry: &QueuedRequest, end: Attempt, outcome: Outcome, elapsed: Duration) {
+    pub(super) fn record_outcome(
+        &mut self,
+        entry: &QueuedRequest,
+        end: Attempt,
+        outcome: Outcome,
+        elapsed: Duration,
+    ) {
         let Ok(i) = self.table.find(end.endpoint.id) else { return };
         self.table.endpoints[i].in_flight -= u32::from(end.executing);
         let (served, elapsed_us) = (outcome == Outcome::Served, as_micros_f64(elapsed));
@@ -25,16 +31,16 @@
             queue_wait.record(self.now, &self.latencies, entry.class, elapsed_us, served);
         }
         match outcome {
-            Outcome::Served => self.learn_latency(entry, i, elapsed_us),
+            Outcome::Served => self.record_latency(entry, i, elapsed_us),
             Outcome::Cancelled | Outcome::NotSent => {}
-            Outcome::Error => self.learn_failure(i, Failure::ErrorOf(entry.class)),
-            _ => self.learn_failure(i, Failure::Any),
+            Outcome::Error => self.record_failure(i, Failure::ErrorOf(entry.class)),
+            _ => self.record_failure(i, Failure::Any),
         }
     }
 
-    fn learn_latency(&mut self, entry: &QueuedRequest, i: usize, elapsed_us: f64) {
+    fn record_latency(&mut self, entry: &QueuedRequest, endpoint_index: usize, elapsed_us: f64) {
         let latency = &mut self.latencies[entry.class];
-        self.table.endpoints[i].latency_ratio.record(elapsed_us, latency.median_us);
+        self.table.endpoints[endpoint_index].latency_ratio.record(elapsed_us, latency.median_us);
         latency.record(elapsed_us);
         let queued = self.queues.iter().flatten().any(|queued| queued.within_quota);
         let sample = LimitSample { latency, elapsed_us, within_quota: entry.within_quota, queued };
@@ -42,9 +48,9 @@
     }
 
     /// The peers are the endpoints of its pool; for an error, all that are ready.
-    fn learn_failure(&mut self, i: usize, kind: Failure) {
-        let is_peer = |pool: &&[usize]| kind == Failure::Any && pool.contains(&i);
+    fn record_failure(&mut self, endpoint_index: usize, kind: Failure) {
+        let is_peer = |pool: &&[usize]| kind == Failure::Any && pool.contains(&endpoint_index);
         let peers = self.pools.iter().map(|pool| &pool.members[..]).find(is_peer);
-        self.table.add_failure(i, peers, kind, self.now);
+        self.table.add_failure(endpoint_index, peers, kind, self.now);
     }
 }
--- a/src/balancer/interface/action.rs
+++ b/src/balancer/interface/action.rs
@@ -53,16 +53,16 @@
 }
 
 /// Number of [`TimerToken::Discovery`] on the wire; no request has this id.
-const DISCOVERY: u64 = u64::MAX;
+const DISCOVERY_NUMBER: u64 = u64::MAX;
 /// Number of [`TimerToken::Dispatch`] on the wire; no request has this id.
-const DISPATCH: u64 = u64::MAX - 1;
+const DISPATCH_NUMBER: u64 = u64::MAX - 1;
 
 /// The token of a number that was made of one.
 impl From<u64> for TimerToken {
     fn from(number: u64) -> TimerToken {
         match number {
-            DISCOVERY => TimerToken::Discovery,
-            DISPATCH => TimerToken::Dispatch,
+            DISCOVERY_NUMBER => TimerToken::Discovery,
+            DISPATCH_NUMBER => TimerToken::Dispatch,
             id => TimerToken::Request(id),
         }
     }
@@ -72,8 +72,8 @@
 impl From<TimerToken> for u64 {
     fn from(token: TimerToken) -> u64 {
         match token {
-            TimerToken::Discovery => DISCOVERY,
-            TimerToken::Dispatch => DISPATCH,
+            TimerToken::Discovery => DISCOVERY_NUMBER,
+            TimerToken::Dispatch => DISPATCH_NUMBER,
             TimerToken::Request(id) => id,
         }
     }
--- a/src/balancer/interface/settings.rs
+++ b/src/balancer/interface/settings.rs
@@ -167,7 +167,7 @@
     SlowStartFromOutOfRange(f64),
     /// A number that has to be finite and not negative.
     #[error("settings: {field} is {value}, not a finite number of 0 or more")]
-    NotNonNegative {
+    NegativeOrNotFinite {
         /// The path of the setting.
         field: String,
         /// Its value.
@@ -175,7 +175,7 @@
     },
     /// A duration that has to be a microsecond or more.
     #[error("settings: {field} is {value:?}, not at least 1 µs")]
-    NoDuration {
+    DurationTooShort {
         /// The path of the setting.
         field: String,
         /// Its value.
@@ -242,12 +242,12 @@
     if value.is_finite() && value >= 0.0 {
         return Ok(());
     }
-    Err(SettingsError::NotNonNegative { field: field.to_string(), value })
+    Err(SettingsError::NegativeOrNotFinite { field: field.to_string(), value })
 }
 
 fn check_duration(field: &str, value: Duration) -> Result<(), SettingsError> {
     if whole_micros(value) > 0 {
         return Ok(());
     }
-    Err(SettingsError::NoDuration { field: field.to_string(), value })
+    Err(SettingsError::DurationTooShort { field: field.to_string(), value })
 }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -105,12 +105,12 @@
             Event::DiscoveryFailed => self.discovery_failed(),
             Event::EnterMaintenance(id) => self.enter_maintenance(id),
             Event::ExitMaintenance(id, at) => self.exit_maintenance(id, at),
-            Event::RequestArrived(request) => self.request_arrived(request),
+            Event::RequestArrived(request) => self.on_request_arrived(request),
             Event::ClientDisconnected(id) => self.finish(id),
-            Event::BodyForwarded(id) => self.body_forwarded(id),
-            Event::BodyCompleted(id) => self.body_completed(id),
-            Event::ResponseStarted(id, attempt) => self.response_started(id, attempt),
-            Event::AttemptEnded(result) => self.attempt_ended(result),
+            Event::BodyForwarded(id) => self.on_body_forwarded(id),
+            Event::BodyCompleted(id) => self.on_body_completed(id),
+            Event::ResponseStarted(id, attempt) => self.on_response_started(id, attempt),
+            Event::AttemptEnded(result) => self.on_attempt_ended(result),
             Event::TimerFired(TimerToken::Discovery) => self.poll_discovery(),
             Event::TimerFired(TimerToken::Dispatch) => {
                 self.dispatch_timer_set = false;
--- a/src/balancer/reevaluation.rs
+++ b/src/balancer/reevaluation.rs
@@ -1,9 +1,9 @@
 //! Re-evaluation of a request when its timer fires: is it to be rejected, failed or hedged?
 
 use super::Balancer;
-use super::hedging::hedge_at;
+use super::hedging::hedge_time;
 use super::interface::{Action, RequestId, TimerToken, Timestamp};
-use super::queue::SPARE_CAPACITY;
+use super::queue::SPARE_CAPACITY_MAX_UTILIZATION;
 use super::requests::ActiveRequest;
 use super::retry::retry_deadline;
 
@@ -13,9 +13,9 @@
         let Some(request) = self.requests.get(&id) else { return };
         let if_queued = |at: Timestamp| request.queued.then_some(at);
         let times = [
-            (!request.body_forwarded).then_some(request.abandon_at),
-            hedge_at(request, &self.latencies[request.entry.class]),
-            if_queued(self.late_from(&request.entry)),
+            (!request.body_forwarded).then_some(request.answer_deadline),
+            hedge_time(request, &self.latencies[request.entry.class]),
+            if_queued(self.latest_on_time_send(&request.entry)),
             if_queued(request.queue_until),
             retry_deadline(&self.settings, request).and_then(if_queued),
         ];
@@ -35,7 +35,7 @@
         if request.finished || request.timer_at > self.now {
             return;
         }
-        if self.now >= request.abandon_at || request.queued && self.is_hopeless(request) {
+        if self.now >= request.answer_deadline || request.queued && self.should_give_up(request) {
             return self.reject_or_fail(id);
         }
         if self.needs_hedge(request)
@@ -47,26 +47,27 @@
     }
 
     /// Whether a queued request is better answered at once than sent later.
-    fn is_hopeless(&self, request: &ActiveRequest) -> bool {
+    fn should_give_up(&self, request: &ActiveRequest) -> bool {
         let entry = &request.entry;
-        let late_is_worthless = !entry.within_quota || self.settings.classes[entry.class].late_weight == 0.0;
+        let late_earns_nothing = !entry.within_quota || self.settings.classes[entry.class].late_weight == 0.0;
         // An answer late in its time, with nothing ever sent, costs a client more than a poor chance of a
         // turn is worth.
         let waited_too_long = self.now >= request.queue_until && request.not_executed();
-        let too_late = self.would_be_late(entry) && (late_is_worthless || waited_too_long);
-        let forgotten = retry_deadline(&self.settings, request).is_some_and(|deadline| deadline <= self.now);
-        self.table.ready.is_empty() || too_late || forgotten || waited_too_long && !entry.within_quota
+        let too_late = self.would_be_late(entry) && (late_earns_nothing || waited_too_long);
+        let key_expired =
+            retry_deadline(&self.settings, request).is_some_and(|deadline| deadline <= self.now);
+        self.table.ready.is_empty() || too_late || key_expired || waited_too_long && !entry.within_quota
     }
 
     /// Whether the endpoint of a request's last attempt seems to pause, and its pool has capacity to spare
     /// for a hedge.
     fn needs_hedge(&self, request: &ActiveRequest) -> bool {
-        let part = if self.hedges.pay_off() { 1.0 } else { SPARE_CAPACITY };
+        let max_utilization = if self.hedges.are_effective() { 1.0 } else { SPARE_CAPACITY_MAX_UTILIZATION };
         let latency = &self.latencies[request.entry.class];
         !request.queued
-            && hedge_at(request, latency).is_some_and(|at| at <= self.now)
+            && hedge_time(request, latency).is_some_and(|at| at <= self.now)
             && request.entry.within_quota
             && self.queues[request.pool].is_empty()
-            && self.has_capacity(request.pool, part)
+            && self.has_capacity(request.pool, max_utilization)
     }
 }
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -53,7 +53,7 @@
     /// What it concerns: related requests have the same key.
     pub(super) affinity_key: Option<u64>,
     /// When it is answered at the latest, just before its client stops waiting.
-    pub(super) abandon_at: Timestamp,
+    pub(super) answer_deadline: Timestamp,
     /// Until when it may wait in the queue if it has not been executed.
     pub(super) queue_until: Timestamp,
     /// In the order sent.
--- a/src/balancer/streaming.rs
+++ b/src/balancer/streaming.rs
@@ -8,10 +8,10 @@
 impl Balancer {
     /// A request's body is being forwarded and can't be sent again. Until its last byte the endpoint only
     /// waits, and the end of the attempt tells when the request is over.
-    pub(super) fn body_forwarded(&mut self, id: RequestId) {
+    pub(super) fn on_body_forwarded(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.body_forwarded = true;
-        request.abandon_at = Timestamp::MAX;
+        request.answer_deadline = Timestamp::MAX;
         if let Some(attempt) = request.first_in_flight().filter(|attempt| attempt.executing) {
             attempt.executing = false;
             if let Some(endpoint) = self.table.get_mut(attempt.endpoint.id) {
@@ -22,7 +22,7 @@
     }
 
     /// The last byte of such a body has been received.
-    pub(super) fn body_completed(&mut self, id: RequestId) {
+    pub(super) fn on_body_completed(&mut self, id: RequestId) {
         let request = self.requests.get_mut(&id);
         let attempt = request.and_then(ActiveRequest::first_in_flight).filter(|attempt| !attempt.executing);
         let Some(attempt) = attempt else { return };
@@ -35,7 +35,7 @@
 
     /// A response has begun: the endpoint has done its work, and how long the client takes tells nothing of
     /// it.
-    pub(super) fn response_started(&mut self, id: RequestId, number: AttemptNumber) {
+    pub(super) fn on_response_started(&mut self, id: RequestId, number: AttemptNumber) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.finished = true;
         let entry = request.entry;
@@ -43,7 +43,7 @@
             let executed = *attempt;
             attempt.executing = false;
             let elapsed = self.now.saturating_duration_since(executed.sent_at);
-            self.learn(&entry, executed, Outcome::Served, elapsed);
+            self.record_outcome(&entry, executed, Outcome::Served, elapsed);
         }
         self.cancel_attempts(id, Some(number));
         self.dispatch();
--- a/tests/balancer/hedging.rs
+++ b/tests/balancer/hedging.rs
@@ -5,7 +5,7 @@
 use crate::support::*;
 
 #[test]
-fn a_request_at_a_pausing_endpoint_is_hedged() {
+fn a_request_without_a_response_is_hedged_at_another_endpoint() {
     let mut node = TestNode::new(settings(), endpoints(1..11));
     let (id, first) = node.arrive(IDEMPOTENT, Some(0));
     let paused = sends(&first, id)[0];
@@ -15,7 +15,7 @@
 
 /// Hedges of long requests lose to them and fill endpoints; hedges past pausing endpoints win.
 #[test]
-fn hedges_fill_a_pool_beyond_half_only_while_some_of_them_win() {
+fn hedges_use_more_than_half_of_a_pool_only_while_some_of_them_win() {
     for winner in [0, 1] {
         let mut node = TestNode::new(Settings { node_count: 1, ..settings() }, endpoints(1..11));
         for _ in 0..20 {
--- a/tests/balancer/lifecycle.rs
+++ b/tests/balancer/lifecycle.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn discovery_is_polled_at_the_start_and_again_after_a_failure() {
+fn polls_discovery_at_startup_and_after_a_failure() {
     let mut polling = settings();
     polling.discovery = DiscoveryMode::Poll { interval: 10 * S };
     let mut node = TestNode::new(polling, vec![]);
@@ -46,9 +46,9 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_are_rejected() {
-    type Spoil = fn(&mut Settings);
-    let cases: [(Spoil, &str); 9] = [
+fn rejects_invalid_settings() {
+    type Invalidate = fn(&mut Settings);
+    let cases: [(Invalidate, &str); 9] = [
         (|s| s.classes.clear(), "there are no request classes: services is empty"),
         (|s| s.node_count = 0, "balancers is 0"),
         (|s| s.node_index = 2, "rank is 2, not below balancers, which is 2"),
@@ -59,16 +59,16 @@
         (|s| s.classes[1].deadline = Duration::ZERO, "services.1.deadline_us is 0ns"),
         (|s| s.classes[2].late_weight = -0.5, "services.2.late_value is -0.5"),
     ];
-    for (spoil, expected) in cases {
+    for (invalidate, expected) in cases {
         let mut s = settings();
-        spoil(&mut s);
+        invalidate(&mut s);
         let message = Balancer::new(s, 1).err().expect(expected).to_string();
         assert!(message.starts_with("settings: ") && message.contains(expected), "{message}");
     }
 }
 
 #[test]
-fn unusual_but_legal_input_is_handled() {
+fn handles_unusual_but_legal_input() {
     let mut node = TestNode::new(settings(), endpoints(1..5));
     node.now = START + 5 * S;
     let (id, _) = node.arrive(IDEMPOTENT, Some(0));
--- a/tests/balancer/maintenance.rs
+++ b/tests/balancer/maintenance.rs
@@ -70,8 +70,8 @@
         node.end_attempt(id, 0, Outcome::Served, MS);
     };
     // What was lost is not queued, and so not sent there later.
-    failures_met(&mut node, NON_IDEMPOTENT, &[failing], Outcome::Reset, 100);
-    assert_eq!(failures_met(&mut node, NON_IDEMPOTENT, &[failing], Outcome::Reset, 40), 0, "it is ejected");
+    count_failures(&mut node, NON_IDEMPOTENT, &[failing], Outcome::Reset, 100);
+    assert_eq!(count_failures(&mut node, NON_IDEMPOTENT, &[failing], Outcome::Reset, 40), 0, "it is ejected");
     node.handle(Event::EnterMaintenance(failing));
     node.now += MS;
     node.handle(Event::ExitMaintenance(failing, node.now));
--- a/tests/balancer/outliers.rs
+++ b/tests/balancer/outliers.rs
@@ -24,8 +24,8 @@
 fn failing_endpoints_are_ejected_only_while_they_are_at_most_half_of_the_pool() {
     for (failing, ejected) in [(1, true), (3, false)] {
         let (mut node, pool) = pool_of_four();
-        failures_met(&mut node, NON_IDEMPOTENT, &pool[..failing], Outcome::Reset, 100);
-        let later = failures_met(&mut node, NON_IDEMPOTENT, &pool[..failing], Outcome::Reset, 40);
+        count_failures(&mut node, NON_IDEMPOTENT, &pool[..failing], Outcome::Reset, 100);
+        let later = count_failures(&mut node, NON_IDEMPOTENT, &pool[..failing], Outcome::Reset, 40);
         assert_eq!(later == 0, ejected, "{failing} of 4 fail");
     }
 }
@@ -35,13 +35,13 @@
 fn endpoints_that_err_on_a_class_are_ejected_for_that_class_alone_however_many_they_are() {
     for failing in 1..=4 {
         let (mut node, pool) = pool_of_four();
-        failures_met(&mut node, NON_IDEMPOTENT, &pool[..failing], Outcome::Error, 100);
-        let seen = failures_met(&mut node, NON_IDEMPOTENT, &pool[..failing], Outcome::Error, 20);
+        count_failures(&mut node, NON_IDEMPOTENT, &pool[..failing], Outcome::Error, 100);
+        let seen = count_failures(&mut node, NON_IDEMPOTENT, &pool[..failing], Outcome::Error, 20);
         assert!(
             seen <= failing,
             "{seen} of 20 met one of {failing} endpoints that err: each is tried again now and then"
         );
-        let others = failures_met(&mut node, IDEMPOTENT, &pool[..failing], Outcome::Served, 40);
+        let others = count_failures(&mut node, IDEMPOTENT, &pool[..failing], Outcome::Served, 40);
         assert!(others > 0, "none of 40 went to the {failing} of 4 endpoints that serve them");
     }
 }
@@ -50,7 +50,7 @@
 #[test]
 fn a_pool_whose_free_endpoints_are_ejected_spills_over() {
     let (mut node, pool) = pool_of_four();
-    assert!(failures_met(&mut node, NON_IDEMPOTENT, &pool[..1], Outcome::Reset, 30) > 0);
+    assert!(count_failures(&mut node, NON_IDEMPOTENT, &pool[..1], Outcome::Reset, 30) > 0);
     let to: Vec<EndpointId> = (0..30)
         .flat_map(|_| {
             let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
@@ -64,7 +64,7 @@
 #[test]
 fn a_class_that_most_endpoints_err_on_does_not_block_the_others() {
     let (mut node, pool) = pool_of_four();
-    failures_met(&mut node, NON_IDEMPOTENT, &pool[..3], Outcome::Error, 100);
+    count_failures(&mut node, NON_IDEMPOTENT, &pool[..3], Outcome::Error, 100);
     let open: Vec<_> = (0..30).map(|_| node.arrive(NON_IDEMPOTENT, Some(0)).0).collect();
     let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
     assert_eq!(sends(&actions, id).len(), 1, "{} are queued or in flight", open.len());
--- a/tests/balancer/retries.rs
+++ b/tests/balancer/retries.rs
@@ -30,10 +30,10 @@
 
 /// A list may name no cells: each endpoint then knows its own keys alone, until it restarts.
 #[test]
-fn a_keyed_request_is_retried_only_at_its_endpoint_where_no_cells_are_listed() {
+fn a_keyed_request_without_cells_is_retried_only_at_the_same_endpoint() {
     for restarts in [false, true] {
-        let alone = |s: EndpointInfo| EndpointInfo { cell: None, ..s };
-        let list: Vec<EndpointInfo> = endpoints(1..41).into_iter().map(alone).collect();
+        let without_cell = |s: EndpointInfo| EndpointInfo { cell: None, ..s };
+        let list: Vec<EndpointInfo> = endpoints(1..41).into_iter().map(without_cell).collect();
         let mut node = TestNode::new(settings(), list);
         let (id, first) = node.arrive(KEYED_BY_CELL, Some(0));
         let first = sends(&first, id)[0];
@@ -41,7 +41,7 @@
             let now = node.now;
             node.handle(Event::EndpointDelta(vec![EndpointInfo {
                 started_at: now,
-                ..alone(endpoint(first))
+                ..without_cell(endpoint(first))
             }]));
         }
         let retry = node.end_attempt(id, 0, Outcome::Error, MS);
@@ -53,23 +53,25 @@
 /// Connections may come up late: a retry says until when it may begin. Windows are 400 ms here, from the
 /// first attempt on; 20 ms of them are the time to arrive.
 #[test]
-fn only_the_retry_of_a_keyed_request_that_may_have_been_executed_has_a_deadline() {
-    let by = |actions: &[Action]| {
-        actions.iter().find_map(|a| if let Action::Send { begin_by: by, .. } = a { Some(*by) } else { None })
+fn only_retries_of_keyed_requests_that_may_have_been_executed_have_a_deadline() {
+    let begin_by = |actions: &[Action]| {
+        actions
+            .iter()
+            .find_map(|a| if let Action::Send { begin_by, .. } = a { Some(*begin_by) } else { None })
     };
-    for (class, tied) in [(IDEMPOTENT, false), (KEYED_BY_CELL, true), (KEYED_BY_ALL, true)] {
+    for (class, has_deadline) in [(IDEMPOTENT, false), (KEYED_BY_CELL, true), (KEYED_BY_ALL, true)] {
         let mut node = TestNode::new(settings(), endpoints(1..41));
         let (id, first) = node.arrive(class, Some(0));
-        assert_eq!(by(&first), Some(None));
+        assert_eq!(begin_by(&first), Some(None));
         node.now += 20 * MS;
         // What was not executed anywhere may begin at any time, and the window counts from then.
-        assert_eq!(by(&node.end_attempt(id, 0, Outcome::ConnectFailed, 20 * MS)), Some(None));
+        assert_eq!(begin_by(&node.end_attempt(id, 0, Outcome::ConnectFailed, 20 * MS)), Some(None));
         let sent = node.now;
         node.now += 30 * MS;
-        let until = tied.then_some(sent + 380 * MS);
-        assert_eq!(by(&node.end_attempt(id, 1, Outcome::Reset, 30 * MS)), Some(until));
+        let until = has_deadline.then_some(sent + 380 * MS);
+        assert_eq!(begin_by(&node.end_attempt(id, 1, Outcome::Reset, 30 * MS)), Some(until));
         node.now += 30 * MS;
-        assert_eq!(by(&node.end_attempt(id, 2, Outcome::Rejected, 30 * MS)), Some(until));
+        assert_eq!(begin_by(&node.end_attempt(id, 2, Outcome::Rejected, 30 * MS)), Some(until));
     }
 }
 
--- a/tests/balancer/judge.rs
+++ b/tests/balancer/rule_checks.rs
@@ -4,18 +4,18 @@
 
 use mothspool::*;
 
-use crate::world::{SentAttempt, SentRequest, World};
+use crate::random_scenario::{AttemptRecord, RandomScenario, RequestRecord};
 
 /// How long a retry may take to arrive at its endpoint.
 const TRANSIT_TIME: Duration = Duration::from_millis(20);
 
-impl World {
+impl RandomScenario {
     /// Judges an action, and takes note of it.
-    pub fn judge(&mut self, action: &Action) {
+    pub fn check_action(&mut self, action: &Action) {
         match *action {
-            Action::Send { request, endpoint, begin_by } => self.judge_send(request, endpoint, begin_by),
-            Action::Reject { request, .. } => self.judge_answer(request, true),
-            Action::Fail(request) => self.judge_answer(request, false),
+            Action::Send { request, endpoint, begin_by } => self.check_send(request, endpoint, begin_by),
+            Action::Reject { request, .. } => self.check_final_answer(request, true),
+            Action::Fail(request) => self.check_final_answer(request, false),
             Action::Cancel(request, attempt) => {
                 assert!(self.settings.cancellation, "cancelled where that is not allowed");
                 let attempts = &self.requests[&request].attempts;
@@ -28,10 +28,10 @@
         }
     }
 
-    fn judge_send(&mut self, id: RequestId, to: EndpointId, begin_by: Option<Timestamp>) {
+    fn check_send(&mut self, id: RequestId, to: EndpointId, begin_by: Option<Timestamp>) {
         let (now, s) = (self.node.now, &self.settings);
         let request = self.requests.get_mut(&id).expect("a request that has arrived");
-        assert!(!request.closed, "sent after its end");
+        assert!(!request.finished, "sent after its end");
         assert!(!request.body_forwarded, "sent without its body");
         let endpoint = self.listed[&to];
         assert_eq!(endpoint.state, EndpointState::Ready, "sent to an endpoint that drains or is gone");
@@ -41,26 +41,26 @@
         assert!(request.attempts.len() < usize::from(s.max_attempts), "too many attempts");
         for earlier in &request.attempts {
             let class = &s.classes[request.class];
-            let harmless = earlier.outcome.is_some_and(Outcome::not_executed)
+            let is_safe = earlier.outcome.is_some_and(Outcome::not_executed)
                 || may_execute_again(class, earlier, &endpoint, now, begin_by);
-            assert!(harmless, "it could be executed twice");
+            assert!(is_safe, "it could be executed twice");
         }
-        request.attempts.push(SentAttempt { endpoint, at: now, outcome: None });
+        request.attempts.push(AttemptRecord { endpoint, sent_at: now, outcome: None });
     }
 
-    fn judge_answer(&mut self, id: RequestId, rejected: bool) {
+    fn check_final_answer(&mut self, id: RequestId, rejected: bool) {
         let request = self.requests.get_mut(&id).expect("a request that has arrived");
-        assert!(!request.closed, "answered twice");
-        assert!(self.node.now <= request.abandon_at, "answered too late");
+        assert!(!request.finished, "answered twice");
+        assert!(self.node.now <= request.deadline, "answered too late");
         let class = &self.settings.classes[request.class];
-        assert!(!rejected || is_harmless_to_retry(class, request), "rejected what may have been executed");
-        request.closed = true;
-        self.answers += 1;
+        assert!(!rejected || may_client_retry(class, request), "rejected what may have been executed");
+        request.finished = true;
+        self.final_answers += 1;
     }
 }
 
 /// Whether a client may send a request again.
-fn is_harmless_to_retry(class: &RequestClass, request: &SentRequest) -> bool {
+fn may_client_retry(class: &RequestClass, request: &RequestRecord) -> bool {
     let not_executed = request.attempts.iter().all(|a| a.outcome.is_some_and(Outcome::not_executed));
     not_executed
         || matches!(
@@ -72,7 +72,7 @@
 /// Whether a request may go to an endpoint though an earlier attempt may have been executed.
 fn may_execute_again(
     class: &RequestClass,
-    earlier: &SentAttempt,
+    earlier: &AttemptRecord,
     to: &EndpointInfo,
     now: Timestamp,
     begin_by: Option<Timestamp>,
@@ -82,7 +82,7 @@
         Idempotency::Idempotent => true,
         Idempotency::NonIdempotent => false,
         Idempotency::IdempotentWithKey { scope, window } => {
-            let in_time = |by: Timestamp| now < by && by + TRANSIT_TIME <= earlier.at + window;
+            let in_time = |by: Timestamp| now < by && by + TRANSIT_TIME <= earlier.sent_at + window;
             let same_scope = match scope {
                 IdempotencyScope::All => true,
                 IdempotencyScope::Zone => before.zone == to.zone,
--- a/tests/balancer/rules.rs
+++ b/tests/balancer/rules.rs
@@ -5,44 +5,44 @@
 
 use mothspool::*;
 
+use crate::random_scenario::RandomScenario;
 use crate::support::*;
-use crate::world::World;
 
 #[test]
-fn the_rules_hold_on_random_days() {
-    let mut answers = 0;
+fn the_protocol_rules_hold_on_random_event_sequences() {
+    let mut final_answers = 0;
     for seed in 0..150 {
-        let world = World::run(seed, 600);
-        assert!(world.all_answered(), "seed {seed}: a request got no answer");
-        answers += world.answers;
+        let scenario = RandomScenario::run(seed, 600);
+        assert!(scenario.all_answered(), "seed {seed}: a request got no answer");
+        final_answers += scenario.final_answers;
     }
-    assert!(answers > 1_000, "only {answers} final answers were put to the test");
+    assert!(final_answers > 1_000, "only {final_answers} final answers were put to the test");
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
     for seed in 0..10 {
-        assert_eq!(World::run(seed, 400).log, World::run(seed, 400).log);
+        assert_eq!(RandomScenario::run(seed, 400).action_log, RandomScenario::run(seed, 400).action_log);
     }
 }
 
 #[test]
-fn nothing_is_kept_of_requests_that_have_ended() {
+fn finished_requests_are_not_tracked() {
     for seed in 0..20 {
-        let world = World::run(seed, 600);
-        assert_eq!(world.node.balancer.tracked_requests(), 0, "seed {seed}");
+        let scenario = RandomScenario::run(seed, 600);
+        assert_eq!(scenario.node.balancer.tracked_requests(), 0, "seed {seed}");
     }
 }
 
 /// Any window that the work of an endpoint that is warming up is counted over.
 const WINDOW: Duration = Duration::from_secs(2);
 /// The multiple of what it can do at which it fails; the settings state a lower one.
-const FAILS_AT: f64 = 3.0;
+const OVERLOAD_MULTIPLE: f64 = 3.0;
 /// How long each request takes.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 
 /// When endpoint 3 starts, and what each endpoint was sent after that.
-struct WarmUp {
+struct SlowStartRun {
     settings: Settings,
     started: Timestamp,
     ended: Timestamp,
@@ -51,9 +51,9 @@
 
 /// A node of ten endpoints, a request each 5 ms for 20 s. One endpoint restarts after 5 s, or is put back
 /// then by operators who took it out before, of which lists say nothing.
-fn warm_up(seed: u64, maintenance: bool) -> WarmUp {
+fn run_slow_start(seed: u64, maintenance: bool) -> SlowStartRun {
     let settings = settings();
-    let mut dice = fastrand::Rng::with_seed(seed);
+    let mut rng = fastrand::Rng::with_seed(seed);
     let mut node = TestNode::new(settings.clone(), endpoints(1..11));
     let mut sent: BTreeMap<EndpointId, Vec<Timestamp>> = BTreeMap::new();
     let mut due: BTreeSet<(Timestamp, RequestId)> = BTreeSet::new();
@@ -68,7 +68,7 @@
         } else if step == 1_000 {
             node.handle(Event::EndpointDelta(vec![EndpointInfo { started_at: started, ..endpoint(3) }]));
         }
-        let mut actions = node.arrive(IDEMPOTENT, Some(dice.u32(..4))).1;
+        let mut actions = node.arrive(IDEMPOTENT, Some(rng.u32(..4))).1;
         while let Some(&(at, id)) = due.first().filter(|(at, _)| *at <= node.now) {
             due.remove(&(at, id));
             actions.extend(node.end_attempt(id, 0, Outcome::Served, SERVICE_TIME));
@@ -81,16 +81,16 @@
         }
     }
     sent.values_mut().for_each(|times| times.retain(|at| *at >= started));
-    WarmUp { settings, started, ended: node.now, sent }
+    SlowStartRun { settings, started, ended: node.now, sent }
 }
 
 /// The budget of rule four: the part of an endpoint that is warming up in what warm endpoints of the same
 /// node get, over any window, stays under the failing multiple of its capacity, here that at the window's
 /// start.
 #[test]
-fn an_endpoint_that_is_warming_up_is_never_overloaded() {
+fn an_endpoint_in_slow_start_is_never_overloaded() {
     for (seed, maintenance) in (0..10).zip([false, true].into_iter().cycle()) {
-        let WarmUp { settings: s, started, ended, sent } = warm_up(seed, maintenance);
+        let SlowStartRun { settings: s, started, ended, sent } = run_slow_start(seed, maintenance);
         let micros = |duration: Duration| duration.as_micros() as f64;
         let all: usize = sent.values().map(Vec::len).sum();
         let warm_rate = all as f64 / micros(ended.saturating_duration_since(started)) / 10.0;
@@ -101,7 +101,7 @@
             let age = micros(from.saturating_duration_since(started)) / micros(s.slow_start_window);
             let capacity =
                 warm_rate * micros(WINDOW) * (s.slow_start_from + (1.0 - s.slow_start_from) * age.min(1.0));
-            assert!(within <= FAILS_AT * capacity + 2.0, "seed {seed}: {within} against {capacity}");
+            assert!(within <= OVERLOAD_MULTIPLE * capacity + 2.0, "seed {seed}: {within} against {capacity}");
         }
     }
 }
--- a/tests/balancer/streaming.rs
+++ b/tests/balancer/streaming.rs
@@ -5,7 +5,7 @@
 use crate::support::*;
 
 #[test]
-fn a_response_that_has_started_belongs_to_the_client() {
+fn a_started_response_cancels_the_hedge_and_ends_the_deadline() {
     let mut node = TestNode::new(settings(), endpoints(1..11));
     let (id, _) = node.arrive(IDEMPOTENT, Some(0));
     let hedge = node.fire_timer(id, 250 * MS);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_forwarded_body_is_sent_nowhere_else() {
+fn a_request_with_a_forwarded_body_is_not_retried_or_hedged() {
     for outcome in [Outcome::Reset, Outcome::Rejected, Outcome::TimedOut] {
         let mut node = TestNode::new(settings(), endpoints(1..11));
         let (id, _) = node.arrive(KEYED_BY_ALL, Some(0));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn an_attempt_is_load_from_the_last_byte_of_its_request_to_the_first_of_its_response() {
+fn an_attempt_counts_as_load_from_the_last_request_byte_to_the_first_response_byte() {
     let mut node = TestNode::new(settings(), endpoints(1..2));
     // Bodies that are still coming do not fill the endpoint.
     let uploads: Vec<RequestId> = (0..50)
@@ -50,21 +50,21 @@
         })
         .collect();
     // Complete ones do, until the response begins.
-    let (complete, never) = uploads.split_at(20);
+    let (complete, incomplete) = uploads.split_at(20);
     complete.iter().for_each(|id| drop(node.handle(Event::BodyCompleted(*id))));
     let (queued, actions) = node.arrive(NON_IDEMPOTENT, Some(0));
     assert_eq!(sends(&actions, queued), [], "it is full");
     node.now += 20 * MS;
-    let began: Vec<Action> =
+    let actions: Vec<Action> =
         complete.iter().flat_map(|id| node.handle(Event::ResponseStarted(*id, 0))).collect();
-    assert_eq!(sends(&began, queued), [1], "it has capacity again");
+    assert_eq!(sends(&actions, queued), [1], "it has capacity again");
     node.end_attempt(queued, 0, Outcome::Served, 20 * MS);
     // How long the clients then take does not make the endpoint slow, nor does one that disconnects.
     node.now += 60 * S;
     for id in complete {
         node.end_attempt(*id, 0, if id % 2 == 0 { Outcome::Served } else { Outcome::Cancelled }, 60 * S);
     }
-    never.iter().for_each(|id| drop(node.end_attempt(*id, 0, Outcome::Cancelled, 60 * S)));
+    incomplete.iter().for_each(|id| drop(node.end_attempt(*id, 0, Outcome::Cancelled, 60 * S)));
     let (id, actions) = node.arrive(NON_IDEMPOTENT, Some(0));
     assert_eq!(sends(&actions, id), [1]);
 }
--- a/tests/balancer/support.rs
+++ b/tests/balancer/support.rs
@@ -171,9 +171,9 @@
 
 /// A node of which tenant 0 has a pool of four endpoints, and these; the other label's pool is another one.
 pub fn pool_of_four() -> (TestNode, Vec<EndpointId>) {
-    let mut alone = settings();
-    alone.tenants.iter_mut().for_each(|t| t.service_share = 0.1);
-    let mut node = TestNode::new(alone, endpoints(1..13));
+    let mut small_shares = settings();
+    small_shares.tenants.iter_mut().for_each(|t| t.service_share = 0.1);
+    let mut node = TestNode::new(small_shares, endpoints(1..13));
     let pool: Vec<_> =
         endpoints_reached(&mut node, &[Some(0)]).remove(&Some(0)).unwrap().into_iter().collect();
     assert_eq!(pool.len(), 4);
@@ -181,7 +181,7 @@
 }
 
 /// Sends requests of a class, which end so at the failing endpoints; returns how many met one.
-pub fn failures_met(
+pub fn count_failures(
     node: &mut TestNode,
     class: usize,
     failing: &[EndpointId],
