--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,4 +1,4 @@
-//! The life of a request: it arrives, is queued and sent, perhaps sent again, and gets one final answer.
+//! The lifecycle of a request: arrival, queueing, attempts, retries, and one final answer.
 
 use std::time::Duration;
 
@@ -11,14 +11,15 @@
 use super::retry::{may_send, retry_deadline};
 use super::subsets::pool_of;
 
-/// A request that was not executed leaves the queue after this part of its time: the protocol charges for
-/// those that are rejected after more than half of it.
+/// Maximum fraction of its remaining time, as of its arrival, that a request spends in the queue if it was
+/// not executed. The protocol charges for requests that are rejected after more than half of that time.
 const MAX_QUEUE_TIME_FRACTION: f64 = 0.45;
-/// A request is answered so many steps of the clock before its client stops waiting.
+/// Time from the balancer's last possible final answer to the moment when the client stops waiting, in
+/// multiples of [`Settings::clock_granularity`](super::Settings::clock_granularity).
 const ANSWER_MARGIN_TICKS: u32 = 2;
 
 impl Balancer {
-    /// Queues a request and sends it if there is capacity, or sheds it.
+    /// Sheds a new request, or queues it and sends it as soon as there is capacity.
     pub(super) fn on_request_arrived(&mut self, request: Request) {
         let (id, now) = (request.id, self.now);
         let Some(class) = self.settings.classes.get(request.class) else {
@@ -37,7 +38,7 @@
         self.queues[pool].push(entry);
         let active = ActiveRequest { entry, pool, affinity_key, answer_deadline, queue_until, ..defaults };
         self.requests.insert(id, active);
-        // One that arrives with no time left must not be sent: its answer would be late in any case.
+        // A request that arrives with no time left is not sent: its response would miss the deadline.
         let visibility = self.concurrency.local_load_visibility();
         let admission = self.admission.probability(now, &entry, &self.latencies, visibility);
         if answer_deadline <= now || self.random.f64() >= admission {
@@ -47,7 +48,7 @@
         self.reevaluate(id);
     }
 
-    /// Sends a request to endpoint `i`.
+    /// Sends a request to the endpoint at this index of the table.
     pub(super) fn send(&mut self, id: RequestId, endpoint_index: usize) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let begin_by = retry_deadline(&self.settings, request);
@@ -61,7 +62,7 @@
         self.schedule(id);
     }
 
-    /// Learns from the end of an attempt; then the request is finished, queued again or given its final
+    /// Records the outcome of an attempt, then finishes the request, queues it for a retry or gives its final
     /// answer.
     pub(super) fn on_attempt_ended(&mut self, result: AttemptResult) {
         let (id, outcome) = (result.request, result.outcome);
@@ -84,7 +85,7 @@
         self.dispatch();
     }
 
-    /// Queues a request again that has no attempt in flight; false if it can't be sent any more.
+    /// Queues a request for a retry if it has no attempt in flight. Returns false if it can't be sent again.
     fn requeue(&mut self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         if request.is_in_flight() || request.queued {
@@ -103,7 +104,7 @@
         true
     }
 
-    /// Cancels all attempts in flight but one, where cancelling is allowed.
+    /// Cancels all attempts in flight, except for the given one, if the settings allow cancellation.
     pub(super) fn cancel_attempts(&mut self, id: RequestId, except: Option<AttemptNumber>) {
         let Some(request) = self.requests.get(&id) else { return };
         for (number, attempt) in (0..).zip(&request.attempts) {
@@ -114,12 +115,12 @@
         }
     }
 
-    /// Gives the final answer without a response: a rejection where it is true and another try by the client
-    /// does no harm, else a failure.
+    /// Gives a final answer without a response: a rejection if the request was not executed or the client may
+    /// safely retry it, else a failure.
     pub(super) fn reject_or_fail(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let (entry, not_executed) = (&request.entry, request.not_executed());
-        // What would return into the same overload, and too late, is asked to stay away.
+        // An immediate retry by the client would meet the same overload, and its response would be late.
         let delay_retry = !entry.within_quota || not_executed && self.would_be_late(entry);
         let retry_after = if delay_retry { self.settings.max_retry_after } else { Duration::ZERO };
         let may_reject = not_executed || self.settings.classes[entry.class].idempotency.client_may_retry();
@@ -128,7 +129,7 @@
         self.finish(id);
     }
 
-    /// No answer is owed any more: forgets the request once none of its attempts is in flight.
+    /// Marks a request as finished, and removes it once none of its attempts is in flight.
     pub(super) fn finish(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.finished = true;
--- a/src/balancer/feedback.rs
+++ b/src/balancer/feedback.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt teaches: of its endpoint, its class and the load of all.
+//! Feedback from finished attempts to the statistics of endpoints, classes and overall load.
 
 use std::time::Duration;
 
@@ -9,9 +9,12 @@
 use super::requests::{Attempt, QueuedRequest};
 
 impl Balancer {
-    /// Learns from the end of an attempt. The response of an endpoint that was not executing it any more, or
-    /// not yet, does not tell how fast the endpoint is; nor does what was sent before its return from
-    /// maintenance.
+    /// Updates the statistics with the outcome of an attempt.
+    ///
+    /// Two kinds of attempts are ignored. If the endpoint was not executing a served attempt, because the
+    /// request was incomplete or the response had begun, the elapsed time does not show the endpoint's speed.
+    /// An attempt that was sent before the endpoint's return from maintenance does not show its present
+    /// state.
     pub(super) fn record_outcome(
         &mut self,
         entry: &QueuedRequest,
@@ -38,6 +41,7 @@
         }
     }
 
+    /// Updates the latency estimates and the concurrency limit with a served attempt.
     fn record_latency(&mut self, entry: &QueuedRequest, endpoint_index: usize, elapsed_us: f64) {
         let latency = &mut self.latencies[entry.class];
         self.table.endpoints[endpoint_index].latency_ratio.record(elapsed_us, latency.median_us);
@@ -47,7 +51,8 @@
         self.concurrency.record(self.now, &sample, self.table.ready.len());
     }
 
-    /// The peers are the endpoints of its pool; for an error, all that are ready.
+    /// Counts a failure of an endpoint and compares it with its peers: all ready endpoints for an error
+    /// response, else the endpoints of its pool.
     fn record_failure(&mut self, endpoint_index: usize, kind: Failure) {
         let is_peer = |pool: &&[usize]| kind == Failure::Any && pool.contains(&endpoint_index);
         let peers = self.pools.iter().map(|pool| &pool.members[..]).find(is_peer);
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -1,39 +1,48 @@
-//! Hedging: a second attempt at another endpoint once the first seems to have met a pausing one.
+//! Hedging: a second attempt at another endpoint if the endpoint of the first one seems to have paused.
 
 use super::interface::{Timestamp, duration_from_micros_f64};
 use super::latency::LatencyEstimator;
 use super::requests::ActiveRequest;
 
-/// A hedge is sent while it would meet the latency objective even at this multiple of the median.
+/// Time that a hedge is given to meet the latency objective, as a multiple of the class's median latency.
 const HEDGE_MEDIAN_MULTIPLE: f64 = 2.0;
-/// How far one race moves the win rate.
+/// Weight of the latest race between two attempts in the win rate.
 const WIN_RATE_STEP: f64 = 0.05;
-/// Hedges may fill a pool like first attempts while they win more than this part of their races; else only
-/// the part that is spare.
+/// Win rate above which hedges may use a pool's full capacity, like first attempts. Otherwise they use only
+/// its spare capacity.
 const MIN_WIN_RATE: f64 = 0.1;
 
-/// How often the later attempt wins where one is served while another is in flight.
+/// How often a hedge wins: it is served while another attempt of the request is still in flight.
 #[derive(Default)]
 pub(super) struct HedgeStatistics {
     win_rate: f64,
 }
 
 impl HedgeStatistics {
-    /// A race of two attempts has ended.
+    /// Records the end of a race: one attempt was served while another was in flight.
     pub(super) fn record(&mut self, hedge_won: bool) {
         self.win_rate += WIN_RATE_STEP * (f64::from(u8::from(hedge_won)) - self.win_rate);
     }
 
-    /// Whether hedges win often enough to compete with first attempts. Those of long requests mostly lose,
-    /// and only fill endpoints.
+    /// Returns whether hedges win often enough to compete with first attempts. Hedges of long requests mostly
+    /// lose, and only add load to endpoints.
     pub(super) fn are_effective(&self) -> bool {
         self.win_rate > MIN_WIN_RATE
     }
 }
 
-/// When a request is to be hedged: as late as a hedge would still meet the latency objective, but not before
-/// the response to its last attempt is overdue. `sent + max(objective - sent - 2 * median, 1.5 * median)`;
-/// none if no attempt is in flight.
+/// Returns the time at which a request should be hedged: as late as the hedge can still meet the latency
+/// objective, but not before the response to the last attempt is overdue. Returns none if no attempt is in
+/// flight.
+///
+/// ```text
+/// hedge time = sent + max(objective - sent - HEDGE_MEDIAN_MULTIPLE * median, likely)
+///
+/// sent       time at which the last attempt in flight was sent
+/// objective  time by which a response meets the latency objective
+/// median     median latency of the class in microseconds
+/// likely     time within which a response probably arrives, in microseconds
+/// ```
 pub(super) fn hedge_time(request: &ActiveRequest, latency: &LatencyEstimator) -> Option<Timestamp> {
     let last = request.in_flight().next_back()?;
     let objective_us = request.entry.objective_at.micros_since(last.sent_at);
--- a/src/balancer/interface/action.rs
+++ b/src/balancer/interface/action.rs
@@ -1,54 +1,55 @@
-//! What a balancer wants its node to do.
+//! The actions that a balancer returns to its node.
 
 use std::time::Duration;
 
 use super::event::{AttemptNumber, EndpointId, RequestId};
 use super::time::Timestamp;
 
-/// An action, to be carried out at once and in order.
+/// An action. The node carries out actions at once and in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Start an attempt; it times out when the client stops waiting.
+    /// Starts an attempt, which times out when the client stops waiting.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// From when on no attempt of this request may begin, if ever: a connection may come up late, and
-        /// endpoints may have forgotten by then that they executed it. Such an attempt ends as
-        /// [`Outcome::NotSent`](super::Outcome::NotSent).
+        /// Deadline for starting the attempt, if there is one. Its connection may take long to open, and by
+        /// then endpoints may have forgotten that they executed the request. An attempt that misses the
+        /// deadline ends as [`Outcome::NotSent`](super::Outcome::NotSent).
         begin_by: Option<Timestamp>,
     },
-    /// Final answer: rejected, and harmless to try again.
+    /// Gives the final answer that the request is rejected. The client may safely retry it.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should wait before it tries again; zero for no advice.
+        /// How long the client should wait before it retries; zero for no advice.
         retry_after: Duration,
     },
-    /// Final answer: failed, with no promise.
+    /// Gives the final answer that the request failed. It may have been executed.
     Fail(RequestId),
-    /// Stop waiting for an attempt.
+    /// Cancels an attempt.
     Cancel(RequestId, AttemptNumber),
-    /// Set a timer: after this time [`Event::TimerFired`](super::Event::TimerFired) is due with the token.
+    /// Sets a timer. When it expires, the node passes [`Event::TimerFired`](super::Event::TimerFired) with
+    /// the token.
     SetTimer {
-        /// How long from now.
+        /// Time until the timer fires.
         after: Duration,
-        /// What the timer is for.
+        /// The purpose of the timer.
         token: TimerToken,
     },
-    /// Ask discovery to send changes from now on.
+    /// Subscribes to changes of the endpoint list at discovery.
     Subscribe,
 }
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TimerToken {
-    /// This request is to be re-evaluated.
+    /// Re-evaluates this request.
     Request(RequestId),
-    /// Queued requests are to be dispatched again.
+    /// Dispatches queued requests.
     Dispatch,
-    /// Discovery is to be polled again.
+    /// Polls discovery.
     Discovery,
 }
 
@@ -57,7 +58,7 @@
 /// Number of [`TimerToken::Dispatch`] on the wire; no request has this id.
 const DISPATCH_NUMBER: u64 = u64::MAX - 1;
 
-/// The token of a number that was made of one.
+/// Converts a number back to the token that it was made from.
 impl From<u64> for TimerToken {
     fn from(number: u64) -> TimerToken {
         match number {
@@ -68,7 +69,8 @@
     }
 }
 
-/// The number of a token, for wires and timers that carry numbers: a request's timer has the request's id.
+/// Converts a token to a number, for timers that are identified by numbers. A request's timer has the id of
+/// the request.
 impl From<TimerToken> for u64 {
     fn from(token: TimerToken) -> u64 {
         match token {
--- a/src/balancer/interface/event.rs
+++ b/src/balancer/interface/event.rs
@@ -1,15 +1,15 @@
-//! What a node tells its balancer: endpoint lists, requests, and what became of attempts.
+//! The events that a node passes to its balancer: endpoint lists, requests, and the outcomes of attempts.
 
 use std::time::Duration;
 
 use super::action::TimerToken;
 use super::time::Timestamp;
 
-/// Names a request; never used again for another one.
+/// Id of a request; it is not reused for another one.
 pub type RequestId = u64;
-/// Names an endpoint; the same at every node and after the endpoint's restart.
+/// Id of an endpoint; it is the same at every node and after a restart of the endpoint.
 pub type EndpointId = u64;
-/// The number of an attempt within its request, from 0 in the order sent.
+/// Number of an attempt within its request, from 0 in the order in which they are sent.
 pub type AttemptNumber = u16;
 
 /// An event at the node.
@@ -17,43 +17,44 @@
 pub enum Event {
     /// A complete endpoint list; an endpoint that is missing is gone.
     EndpointSnapshot(Vec<EndpointInfo>),
-    /// The complete list as the node had it before its start; it may be old, and does not answer a poll.
+    /// The complete list that the node had before it started. It may be outdated, and is not the result of a
+    /// poll.
     CachedSnapshot(Vec<EndpointInfo>),
-    /// The entries of the list that have changed.
+    /// The entries of the endpoint list that have changed.
     EndpointDelta(Vec<EndpointInfo>),
-    /// A poll of discovery failed, or the subscription broke.
+    /// A poll of discovery failed, or the subscription ended.
     DiscoveryFailed,
-    /// An operator has taken an endpoint out of use: it is not ready until it is put back, whatever lists
-    /// say.
+    /// An operator has put an endpoint into maintenance. It is not ready until it returns, whatever the
+    /// endpoint list says.
     EnterMaintenance(EndpointId),
-    /// An operator has put an endpoint back, at this instant: it counts as started then.
+    /// An operator has ended the maintenance of an endpoint at this time, which counts as its start.
     ExitMaintenance(EndpointId, Timestamp),
-    /// A request has arrived; one final answer is owed from now on.
+    /// A request has arrived and needs one final answer.
     RequestArrived(Request),
-    /// The client has disconnected; no answer is owed any more.
+    /// The client has disconnected; the request needs no answer any more.
     ClientDisconnected(RequestId),
-    /// A request's body is being forwarded to an endpoint as it comes and is kept nowhere: it can't be sent
-    /// again. The request's time runs from its last byte, so that the end of the attempt tells when it is
-    /// over.
+    /// A request's body is being forwarded to an endpoint as it arrives, without a copy, so the request can't
+    /// be sent again. The time of the request runs from its last byte, so the balancer sets no deadline: the
+    /// request ends with its attempt.
     BodyForwarded(RequestId),
-    /// The last byte of such a body has been received.
+    /// The last byte of a forwarded body has been received.
     BodyCompleted(RequestId),
-    /// The response to this attempt has begun to pass through; the attempt now belongs to the client.
+    /// The response to this attempt is being forwarded to the client, so this attempt gives the final answer.
     ResponseStarted(RequestId, AttemptNumber),
-    /// An attempt has ended; each one sent does so once.
+    /// An attempt has ended. The node passes this event once for each attempt.
     AttemptEnded(AttemptResult),
     /// A timer that was set has fired.
     TimerFired(TimerToken),
 }
 
-/// Whether an endpoint takes requests, as its list says.
+/// Whether an endpoint takes requests, according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
     /// It takes requests.
     Ready,
-    /// It finishes what it has; nothing new goes there.
+    /// It finishes its requests and gets no new ones.
     Draining,
-    /// It is no more.
+    /// It no longer exists.
     #[default]
     Gone,
 }
@@ -61,34 +62,35 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointInfo {
-    /// Which endpoint.
+    /// Id of the endpoint.
     pub id: EndpointId,
     /// Whether it takes requests.
     pub state: EndpointState,
-    /// When it last started; the clock's start, which is the default, stands for long ago.
+    /// Time of its last start. The default, the start of the clock, means that it started long ago.
     pub started_at: Timestamp,
     /// Its zone.
     pub zone: u8,
-    /// Its cell: endpoints that know each other's idempotency keys. Without a cell it knows only its own.
+    /// Its cell: a group of endpoints that know each other's idempotency keys. An endpoint without a cell
+    /// knows only its own keys.
     pub cell: Option<u16>,
-    /// Its size against other endpoints, a finite number; 0 if unknown.
+    /// Its size relative to other endpoints, as a finite number; 0 if unknown.
     pub weight: f64,
-    /// What kind of machine it runs on.
+    /// Type of machine that it runs on.
     pub machine_type: u8,
 }
 
 /// A request that has arrived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Request {
-    /// Which request.
+    /// Id of the request.
     pub id: RequestId,
     /// Index of its class in [`Settings::classes`](super::Settings::classes).
     pub class: usize,
-    /// How long until the client stops waiting.
+    /// Time until the client stops waiting.
     pub remaining: Duration,
-    /// The work to expect, as the time that an endpoint takes for it, if known.
+    /// Expected work, as the time that an endpoint takes for it, if known.
     pub expected_work: Option<Duration>,
-    /// What it concerns; related requests have the same key.
+    /// Key that related requests share.
     pub affinity_key: Option<u64>,
     /// Index of its tenant in [`Settings::tenants`](super::Settings::tenants), if it has one.
     pub tenant: Option<u32>,
@@ -97,26 +99,26 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// Served.
+    /// The endpoint served the request.
     Served,
-    /// The endpoint responded with an error; it may have been executed.
+    /// The endpoint responded with an error; the request may have been executed.
     Error,
-    /// The endpoint rejected it; it was not executed.
+    /// The endpoint rejected the request; it was not executed.
     Rejected,
-    /// No response in time; it may have been executed, or may yet be.
+    /// There was no response in time; the request may have been executed, or may be executed later.
     TimedOut,
-    /// No connection; it was not executed.
+    /// No connection was established; the request was not executed.
     ConnectFailed,
-    /// The connection broke; it may have been executed.
+    /// The connection was lost; the request may have been executed.
     Reset,
-    /// Cancelled; it may have been executed.
+    /// The attempt was cancelled; the request may have been executed.
     Cancelled,
-    /// Never sent; it was not executed.
+    /// The attempt was never sent; the request was not executed.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the outcome proves that the attempt was not executed.
+    /// Returns whether the outcome proves that the attempt was not executed.
     pub fn not_executed(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
@@ -125,14 +127,14 @@
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptResult {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Which of its attempts.
+    /// Number of the attempt.
     pub attempt: AttemptNumber,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// How long after it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Duration,
-    /// Whether no answer to the request is owed any more.
+    /// Whether the request needs no answer any more.
     pub request_finished: bool,
 }
--- a/src/balancer/interface/mod.rs
+++ b/src/balancer/interface/mod.rs
@@ -1,4 +1,4 @@
-//! The balancer's interface: events in, actions out, and the settings. Nothing is decided here.
+//! The balancer's interface: events, actions and settings. This module makes no decisions.
 
 mod action;
 mod event;
--- a/src/balancer/interface/settings.rs
+++ b/src/balancer/interface/settings.rs
@@ -1,4 +1,4 @@
-//! What a node is given once, at its start, and the checks of it.
+//! The settings that a node gets when it starts, and their validation.
 
 use std::time::Duration;
 
@@ -7,20 +7,21 @@
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeated execution does no harm.
+    /// It may be executed any number of times.
     Idempotent,
-    /// Endpoints of one scope drop a retry for a time after the first attempt was sent, by the request's key.
+    /// It has an idempotency key, by which the endpoints of one scope drop retries for a limited time after
+    /// the first attempt was sent.
     IdempotentWithKey {
-        /// Which endpoints share the keys that they remember.
+        /// The endpoints that share their keys.
         scope: IdempotencyScope,
-        /// For how long they remember a key.
+        /// How long endpoints remember a key.
         window: Duration,
     },
     /// It must never be executed twice.
     NonIdempotent,
 }
 
-/// The endpoints that drop each other's retries of a keyed request.
+/// The endpoints that share idempotency keys, and drop retries of requests that one of them executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
     /// All endpoints.
@@ -32,7 +33,7 @@
 }
 
 impl Idempotency {
-    /// Whether a client may send a request again, to any node, though it may have been executed.
+    /// Returns whether a client may safely retry a request at any node although it may have been executed.
     pub fn client_may_retry(self) -> bool {
         matches!(
             self,
@@ -44,80 +45,80 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// A response within this time earns the full weight.
+    /// Latency objective: a response within this time earns the full priority weight.
     pub latency_objective: Duration,
-    /// The objective grows by this multiple of the request's expected work, up to the deadline.
+    /// Growth of the latency objective as a multiple of the request's expected work, up to the deadline.
     pub objective_per_work: f64,
-    /// The longest that a client waits.
+    /// Maximum time that a client waits.
     pub deadline: Duration,
-    /// What a response within the objective is worth against those of other classes.
+    /// Value of a response within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// The part of the weight that a late response earns.
+    /// Fraction of the priority weight that a late response earns.
     pub late_weight: f64,
-    /// Whether a request may be executed more than once.
+    /// Whether requests of the class may be executed more than once.
     pub idempotency: Idempotency,
 }
 
 /// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests per second, over all nodes, that are within its quota.
+    /// Quota in requests per second, over all nodes together.
     pub quota_per_second: f64,
-    /// The part of the service that it has a right to, from 0 to 1.
+    /// Fraction of the service's capacity that the tenant is entitled to, from 0 to 1.
     pub service_share: f64,
 }
 
 /// How the endpoint list reaches the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes come by themselves.
+    /// Discovery sends changes without a subscription.
     Push,
-    /// Changes come after [`Action::Subscribe`](super::Action::Subscribe); without a subscription the node
-    /// has to poll.
+    /// Discovery sends changes after [`Action::Subscribe`](super::Action::Subscribe); without a subscription
+    /// the node has to poll.
     Poll {
-        /// The longest time without a poll.
+        /// Maximum time between polls.
         interval: Duration,
     },
 }
 
-/// What a node is given once, at its start. Durations count in whole microseconds.
+/// The settings that a node gets when it starts. Durations are rounded down to whole microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many nodes share the work.
+    /// Number of nodes that share the load.
     pub node_count: u32,
-    /// This node's number among them, from 0.
+    /// Index of this node among them, from 0.
     pub node_index: u32,
-    /// The classes of requests; at least one.
+    /// Classes of requests; at least one.
     pub classes: Vec<RequestClass>,
-    /// The tenants; may be empty.
+    /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The part of its class's weight that a request beyond its tenant's quota has.
+    /// Fraction of its class's priority weight that an over-quota request has.
     pub over_quota_weight: f64,
-    /// The most attempts that a request may have.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u16,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
     /// Whether a second attempt may be sent while the first is in flight.
     pub hedging: bool,
-    /// Whether related requests are cheaper at an endpoint that met their key lately.
+    /// Whether requests cost an endpoint less if it has recently served related ones, with the same key.
     pub key_affinity: bool,
-    /// Whether weights shrink while an endpoint has requests, and so tell of load as well as of size.
+    /// Whether the weight of an endpoint falls while it has requests, and so depends on load as well as size.
     pub load_dependent_weights: bool,
-    /// How the endpoint list comes.
+    /// How the endpoint list reaches the node.
     pub discovery: DiscoveryMode,
-    /// An endpoint that starts has at least this part of its capacity.
+    /// Minimum fraction of its capacity that an endpoint has when it starts.
     pub slow_start_from: f64,
-    /// An endpoint is warm after this time at most.
+    /// Duration of the slow start, after which an endpoint has its full capacity.
     pub slow_start_window: Duration,
-    /// An endpoint that is warming up fails when it is sent this multiple of what it can do at that moment.
+    /// Multiple of its current capacity at which an endpoint in slow start fails.
     pub overload_multiple: f64,
-    /// The longest time between two events at which the clock moves.
+    /// Clock granularity: the maximum time between two events at which the clock advances.
     pub clock_granularity: Duration,
-    /// The longest wait that a rejected client honours before it tries again.
+    /// Maximum Retry-After that a rejected client honours.
     pub max_retry_after: Duration,
 }
 
-/// One node with pushed lists, one attempt a request, no cancelling or hedging, and no class yet.
+/// A single node with discovery by push, one attempt per request, no cancellation, no hedging and no classes.
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
@@ -141,40 +142,40 @@
     }
 }
 
-/// Why settings were rejected. Messages name a setting by its path in the deployment's settings, as
+/// Reason why settings are invalid. Messages name a setting by its path in the deployment's settings, as
 /// [`crate::settings_format`] reads them, since that is where operators have to correct it.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// There is nothing to serve.
-    #[error("settings: there are no request classes: services is empty")]
+    /// There are no classes.
+    #[error("settings: services is empty, so there are no request classes")]
     NoClasses,
-    /// A count that has to be 1 or more.
-    #[error("settings: {field} is 0, not at least 1")]
+    /// A count that has to be at least 1.
+    #[error("settings: {field} is 0, but must be at least 1")]
     ZeroCount {
         /// The path of the setting.
         field: &'static str,
     },
-    /// The node's index is not that of one of the nodes.
-    #[error("settings: rank is {node_index}, not below balancers, which is {node_count}")]
+    /// The node's index is not below the number of nodes.
+    #[error("settings: rank is {node_index}, but must be below balancers, which is {node_count}")]
     NodeIndexOutOfRange {
         /// The index.
         node_index: u32,
         /// The number of nodes.
         node_count: u32,
     },
-    /// The part of its capacity that an endpoint starts with.
-    #[error("settings: obligations.cold_from is {0}, not above 0 and at most 1")]
+    /// The fraction of its capacity that an endpoint starts with is not above 0 and at most 1.
+    #[error("settings: obligations.cold_from is {0}, but must be above 0 and at most 1")]
     SlowStartFromOutOfRange(f64),
-    /// A number that has to be finite and not negative.
-    #[error("settings: {field} is {value}, not a finite number of 0 or more")]
+    /// A number that has to be finite and at least 0.
+    #[error("settings: {field} is {value}, but must be a finite number of at least 0")]
     NegativeOrNotFinite {
         /// The path of the setting.
         field: String,
         /// Its value.
         value: f64,
     },
-    /// A duration that has to be a microsecond or more.
-    #[error("settings: {field} is {value:?}, not at least 1 µs")]
+    /// A duration that has to be at least 1 µs.
+    #[error("settings: {field} is {value:?}, but must be at least 1 µs")]
     DurationTooShort {
         /// The path of the setting.
         field: String,
@@ -184,11 +185,11 @@
 }
 
 impl Settings {
-    /// Checks that the settings make sense together.
+    /// Validates the settings.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the first setting that does not, and its value.
+    /// Returns a [`SettingsError`] that names the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -221,8 +222,13 @@
 }
 
 impl RequestClass {
-    /// The latency objective of a request: `latency_objective + objective_per_work * work`, at most the
-    /// deadline.
+    /// Returns the latency objective of a request.
+    ///
+    /// ```text
+    /// objective = min(latency_objective + objective_per_work * expected_work, deadline)
+    /// ```
+    ///
+    /// Without `expected_work` it is `latency_objective`, but also at most the deadline.
     pub fn objective_for(&self, expected_work: Option<Duration>) -> Duration {
         let extra_us = expected_work.map_or(0.0, |work| as_micros_f64(work) * self.objective_per_work);
         let objective = self.latency_objective.saturating_add(duration_from_micros_f64(extra_us));
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,11 +1,13 @@
-//! Every decision of a node: what to do with each request, and what to learn from each attempt.
+//! The decisions of a node: what to do with each request, and how to use the outcome of each attempt.
 //!
-//! A tenant's label names a small pool of endpoints; of two random members the one with less of this node's
-//! own load gets the request. `docs/design.md` says what was added to that and why.
+//! Each tenant has a label, and each label has a small pool of endpoints. A request goes to the one of two
+//! random members of the pool that has less load from this node. `docs/design.md` describes the additions to
+//! this scheme and the reasons for them.
 //!
-//! The modules depend on each other one way: the `interface`, then estimators and tables that know nothing of
-//! the [`Balancer`], then the balancer's state here, then the modules that decide by it (`attempts`,
-//! `feedback`, `membership`, `queue`, `reevaluation`, `selection`, `streaming`).
+//! The modules are layered, and each depends only on the layers before its own: the `interface`, the
+//! estimators and tables that don't use the [`Balancer`], the balancer's state in this module, and the
+//! modules that decide by that state (`attempts`, `feedback`, `membership`, `queue`, `reevaluation`,
+//! `selection`, `streaming`).
 
 mod admission;
 mod attempts;
@@ -40,36 +42,36 @@
 
 pub use self::interface::*;
 
-/// The decisions of one node.
+/// The state of one node, and all decisions that the node makes.
 pub struct Balancer {
     settings: Settings,
     now: Timestamp,
-    /// Actions of the event being handled.
+    /// Actions in response to the event that is being handled.
     actions: Vec<Action>,
     random: fastrand::Rng,
     table: EndpointTable,
     label_salt: u64,
-    /// None before the first list.
+    /// Pools by index; empty before the first endpoint list.
     pools: Vec<Pool>,
     requests: BTreeMap<RequestId, ActiveRequest>,
-    /// By pool.
+    /// Queued requests by pool.
     queues: Vec<Vec<QueuedRequest>>,
     dispatch_timer_set: bool,
     admission: Admission,
-    /// By class.
+    /// Latency estimates by class.
     latencies: Vec<LatencyEstimator>,
     concurrency: ConcurrencyLimit,
     hedges: HedgeStatistics,
-    /// Polls of discovery that failed since the last list.
+    /// Number of failed polls of discovery since the last endpoint list.
     failed_polls: u32,
 }
 
 impl Balancer {
-    /// Builds a node's balancer; its first event should be the list that the node last had.
+    /// Creates the balancer of a node. Its first event should be the endpoint list that the node last had.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the first setting that makes no sense.
+    /// Returns a [`SettingsError`] that names the first invalid setting.
     pub fn new(settings: Settings, seed: u64) -> Result<Balancer, SettingsError> {
         settings.check()?;
         Ok(Balancer {
@@ -91,9 +93,9 @@
         })
     }
 
-    /// Takes in an event at this instant, and appends what is to be done about it, in order.
+    /// Handles an event that happens at `now`, and appends the resulting actions in order.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
-        // A clock that runs backwards must not wrap differences around.
+        // `now` never decreases, even if the node's clock runs backwards: differences would wrap around.
         self.now = self.now.max(now);
         match event {
             Event::EndpointSnapshot(list) => self.endpoints_changed(list, true),
@@ -121,12 +123,12 @@
         actions.append(&mut self.actions);
     }
 
-    /// Builds the pools anew, as the ready endpoints have changed.
+    /// Rebuilds the pools after a change of the ready endpoints.
     fn rebuild_pools(&mut self) {
         self.pools = build_pools(&mut self.table, &self.settings, self.label_salt);
     }
 
-    /// Requests that are tracked: a gauge for the node that embeds the balancer.
+    /// Returns the number of requests that the balancer tracks, for use as a gauge.
     pub fn tracked_requests(&self) -> usize {
         self.requests.len()
     }
--- a/src/balancer/queue.rs
+++ b/src/balancer/queue.rs
@@ -1,21 +1,24 @@
-//! The queues of requests that wait for capacity: which one goes next, and to which pool.
+//! The queues of requests that wait for capacity: which request is sent next, and to which pool.
 
 use super::Balancer;
 use super::hash::unit_hash;
 use super::interface::{Action, TimerToken, Timestamp};
 use super::requests::QueuedRequest;
 
-/// The part of a pool's capacity that work beyond quotas may fill.
+/// Fraction of a pool's capacity up to which over-quota requests are sent to it.
 const OVER_QUOTA_MAX_UTILIZATION: f64 = 0.8;
-/// A pool takes overflow and hedges while less than this part of its capacity is filled.
+/// Fraction of a pool's capacity below which it accepts hedges, and requests that spill over from other
+/// pools.
 pub(super) const SPARE_CAPACITY_MAX_UTILIZATION: f64 = 0.5;
-/// Queued requests are dispatched again after so many steps of the clock.
+/// Interval at which queued requests are dispatched, in multiples of
+/// [`Settings::clock_granularity`](super::Settings::clock_granularity).
 const DISPATCH_INTERVAL_TICKS: u32 = 2;
-/// Of a class, so many may be found unsendable before its others are passed over.
+/// Number of requests of a class without a suitable endpoint after which a dispatch skips the rest of the
+/// class.
 const MAX_BLOCKED_PER_CLASS: usize = 3;
 
 impl Balancer {
-    /// Sends queued requests, the most valuable first, while pools have capacity.
+    /// Sends queued requests while pools have capacity, in the order of their value density.
     pub(super) fn dispatch(&mut self) {
         for pool in 0..self.queues.len() {
             let mut blocked: Vec<QueuedRequest> = Vec::new();
@@ -40,8 +43,9 @@
         }
     }
 
-    /// The position of the queued request with the highest value density, of several the one with the nearest
-    /// objective. A few that are tied to full endpoints must not stop other classes.
+    /// Returns the position of the queued request with the highest value density. Ties go to the earliest
+    /// latency objective. Classes with `MAX_BLOCKED_PER_CLASS` blocked requests are skipped, so that a few
+    /// requests that may only go to full endpoints don't hold up other classes.
     fn find_most_valuable(&self, pool: usize, blocked: &[QueuedRequest]) -> Option<usize> {
         let blocked_of = |class: usize| blocked.iter().filter(|request| request.class == class).count();
         let queued = self.queues[pool].iter().enumerate();
@@ -50,8 +54,9 @@
         ranked.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1))).map(|best| best.2)
     }
 
-    /// The pool itself while it has capacity, then the overflow pools: the capacity that a pool has left may
-    /// be that of ejected endpoints.
+    /// Returns the pools to try for a request: its own pool if that has capacity, then the pools that it may
+    /// spill over to. They are included even if the own pool has capacity, since that may be the capacity of
+    /// ejected endpoints.
     fn pools_with_capacity(&self, pool: usize, request: &QueuedRequest) -> Vec<usize> {
         let max_utilization = if request.within_quota { 1.0 } else { OVER_QUOTA_MAX_UTILIZATION };
         let own_pool = self.has_capacity(pool, max_utilization).then_some(pool);
@@ -62,10 +67,11 @@
             .collect()
     }
 
-    /// Whether a pool takes a request of another one: its own tenants queue nothing and leave half of it
-    /// free. Where nodes see little of the load the pool looks free to each of them: there it takes, by a
-    /// hash of request and pool, only the part of the other pool's requests that the sizes of both
-    /// warrant.
+    /// Returns whether a request of the pool `from` may spill over to another pool: that pool's own queue has
+    /// to be empty and its utilization below `SPARE_CAPACITY_MAX_UTILIZATION`.
+    ///
+    /// If nodes see little of the load, the pool looks free to each of them. In that case it accepts only a
+    /// fraction of the requests, `size of the pool / size of from`, chosen by a hash of request and pool.
     fn accepts_spillover(&self, pool: usize, from: usize, request: &QueuedRequest) -> bool {
         let size = self.pools[pool].members.len() as f64;
         let is_within_share = || unit_hash(request.id, pool as u64) * self.members(from).len() as f64 <= size;
@@ -75,8 +81,15 @@
             && (self.concurrency.sees_load() || is_within_share())
     }
 
-    /// What a response to the request, sent now, would earn for the time it takes: `priority weight * quota
-    /// weight * late weight / median`, per microsecond.
+    /// Returns the value that the request earns per microsecond of latency if it is sent now.
+    ///
+    /// ```text
+    /// value density = priority_weight * quota_weight * late_weight / median
+    ///
+    /// quota_weight  Settings::over_quota_weight for an over-quota request, else 1
+    /// late_weight   that of the class if the response would be late, else 1
+    /// median        median latency of the class in microseconds
+    /// ```
     fn value_density(&self, request: &QueuedRequest) -> f64 {
         let class = &self.settings.classes[request.class];
         let quota_weight = if request.within_quota { 1.0 } else { self.settings.over_quota_weight };
@@ -84,13 +97,14 @@
         class.priority_weight * quota_weight * late_weight / self.latencies[request.class].median_us
     }
 
-    /// Whether a response to the request, sent now, would probably miss the latency objective.
+    /// Returns whether the response would probably miss the latency objective if the request is sent now.
     pub(super) fn would_be_late(&self, request: &QueuedRequest) -> bool {
         let likely_us = self.latencies[request.class].likely_us();
         self.now.as_micros_f64() + likely_us > request.objective_at.as_micros_f64()
     }
 
-    /// From when on a response would probably miss it.
+    /// Returns the latest time to send the request at which its response probably meets the latency
+    /// objective.
     pub(super) fn latest_on_time_send(&self, request: &QueuedRequest) -> Timestamp {
         let latest_on_time_send_us =
             request.objective_at.as_micros_f64() - self.latencies[request.class].likely_us();
--- a/src/balancer/reevaluation.rs
+++ b/src/balancer/reevaluation.rs
@@ -1,4 +1,4 @@
-//! Re-evaluation of a request when its timer fires: is it to be rejected, failed or hedged?
+//! Re-evaluation of a request when its timer fires: whether it is rejected, failed or hedged.
 
 use super::Balancer;
 use super::hedging::hedge_time;
@@ -8,7 +8,7 @@
 use super::retry::retry_deadline;
 
 impl Balancer {
-    /// Sets a timer for when the request next needs to be re-evaluated, unless one fires before.
+    /// Sets a timer for the next re-evaluation of the request, unless an earlier one is already set.
     pub(super) fn schedule(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let if_queued = |at: Timestamp| request.queued.then_some(at);
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Rejects, fails or hedges a request if it is time to.
+    /// Rejects, fails or hedges a request if that is due.
     pub(super) fn reevaluate(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.finished || request.timer_at > self.now {
@@ -46,12 +46,12 @@
         self.schedule(id);
     }
 
-    /// Whether a queued request is better answered at once than sent later.
+    /// Returns whether a queued request should get its final answer now instead of waiting for capacity.
     fn should_give_up(&self, request: &ActiveRequest) -> bool {
         let entry = &request.entry;
         let late_earns_nothing = !entry.within_quota || self.settings.classes[entry.class].late_weight == 0.0;
-        // An answer late in its time, with nothing ever sent, costs a client more than a poor chance of a
-        // turn is worth.
+        // A rejection late in the request's time costs the client more than a small chance of being sent is
+        // worth.
         let waited_too_long = self.now >= request.queue_until && request.not_executed();
         let too_late = self.would_be_late(entry) && (late_earns_nothing || waited_too_long);
         let key_expired =
@@ -59,8 +59,8 @@
         self.table.ready.is_empty() || too_late || key_expired || waited_too_long && !entry.within_quota
     }
 
-    /// Whether the endpoint of a request's last attempt seems to pause, and its pool has capacity to spare
-    /// for a hedge.
+    /// Returns whether a request should be hedged: its last attempt is overdue, as if the endpoint had
+    /// paused, and its pool has spare capacity for a hedge.
     fn needs_hedge(&self, request: &ActiveRequest) -> bool {
         let max_utilization = if self.hedges.are_effective() { 1.0 } else { SPARE_CAPACITY_MAX_UTILIZATION };
         let latency = &self.latencies[request.entry.class];
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -1,37 +1,38 @@
-//! What is known of open requests and their attempts. Nothing is decided here.
+//! The state of active requests and their attempts. This module makes no decisions.
 
 use super::interface::{AttemptNumber, EndpointInfo, RequestId, Timestamp};
 
-/// What is known of an attempt's execution.
+/// Whether an attempt has ended, and whether it may have been executed.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum AttemptState {
     /// It has not ended.
     InFlight,
-    /// It ended, and surely was not executed.
+    /// It has ended, and was certainly not executed.
     NotExecuted,
-    /// It ended, and may have been executed.
+    /// It has ended, and may have been executed.
     MaybeExecuted,
 }
 
 /// One attempt to have a request executed.
 #[derive(Clone, Copy)]
 pub(super) struct Attempt {
-    /// The endpoint as it was listed when the attempt was sent.
+    /// Entry of the endpoint list when the attempt was sent.
     pub(super) endpoint: EndpointInfo,
     pub(super) sent_at: Timestamp,
     pub(super) state: AttemptState,
-    /// Whether the endpoint has the complete request and has not begun to respond: only then is it load.
+    /// Whether the endpoint has received the complete request and has not begun to respond. Only then does
+    /// the attempt count as load.
     pub(super) executing: bool,
 }
 
 impl Attempt {
-    /// An attempt that is sent now.
+    /// Returns an attempt in flight that was sent at `sent_at`.
     pub(super) fn new(endpoint: EndpointInfo, sent_at: Timestamp) -> Attempt {
         Attempt { endpoint, sent_at, state: AttemptState::InFlight, executing: true }
     }
 }
 
-/// What the turn of a request goes by while it is queued.
+/// The properties of a request that decide when it is admitted and sent.
 #[derive(Clone, Copy, Default)]
 pub(super) struct QueuedRequest {
     pub(super) id: RequestId,
@@ -39,57 +40,57 @@
     pub(super) class: usize,
     /// Whether it is within its tenant's quota.
     pub(super) within_quota: bool,
-    /// When its latency objective is missed.
+    /// Time by which a response meets the latency objective.
     pub(super) objective_at: Timestamp,
 }
 
-/// A request that is owed an answer, or has attempts in flight.
+/// A request that has no final answer yet, or has attempts in flight.
 #[derive(Default)]
 pub(super) struct ActiveRequest {
-    /// What its turn goes by while it is queued.
+    /// Its entry in the queue.
     pub(super) entry: QueuedRequest,
     /// Index of its pool.
     pub(super) pool: usize,
-    /// What it concerns: related requests have the same key.
+    /// Key that related requests share.
     pub(super) affinity_key: Option<u64>,
-    /// When it is answered at the latest, just before its client stops waiting.
+    /// Time by which it gets a final answer, shortly before its client stops waiting.
     pub(super) answer_deadline: Timestamp,
-    /// Until when it may wait in the queue if it has not been executed.
+    /// Time up to which it may wait in the queue if it was not executed.
     pub(super) queue_until: Timestamp,
-    /// In the order sent.
+    /// Its attempts in the order in which they were sent.
     pub(super) attempts: Vec<Attempt>,
-    /// Whether it waits in the queue of its pool.
+    /// Whether it is in the queue of its pool.
     pub(super) queued: bool,
-    /// Its body is being forwarded and kept nowhere: it can't be sent again.
+    /// Whether its body is being forwarded without a copy, so that it can't be sent again.
     pub(super) body_forwarded: bool,
-    /// No answer is owed any more.
+    /// Whether it needs no answer any more.
     pub(super) finished: bool,
-    /// When its earliest timer fires.
+    /// Time at which its earliest timer fires.
     pub(super) timer_at: Timestamp,
 }
 
 impl ActiveRequest {
-    /// Whether it surely was not executed.
+    /// Returns whether it was certainly not executed.
     pub(super) fn not_executed(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.state == AttemptState::NotExecuted)
     }
 
-    /// Its attempts in flight, in the order sent.
+    /// Returns its attempts in flight, in the order in which they were sent.
     pub(super) fn in_flight(&self) -> impl DoubleEndedIterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// Whether any attempt is in flight.
+    /// Returns whether any attempt is in flight.
     pub(super) fn is_in_flight(&self) -> bool {
         self.in_flight().next().is_some()
     }
 
-    /// Its first attempt in flight.
+    /// Returns its first attempt in flight.
     pub(super) fn first_in_flight(&mut self) -> Option<&mut Attempt> {
         self.attempts.iter_mut().find(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// The attempt of this number, if it is in flight.
+    /// Returns the attempt with this number if it is in flight.
     pub(super) fn attempt_in_flight(&mut self, number: AttemptNumber) -> Option<&mut Attempt> {
         let attempt = self.attempts.get_mut(usize::from(number))?;
         Some(attempt).filter(|attempt| attempt.state == AttemptState::InFlight)
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -1,15 +1,15 @@
-//! Retries and hedges: whether, where and until when a request may be sent once more.
+//! The rules for retries and hedges: whether, where and until when a request may be sent again.
 
 use std::time::Duration;
 
 use super::interface::{EndpointInfo, Idempotency, IdempotencyScope, RequestClass, Settings, Timestamp};
 use super::requests::{ActiveRequest, AttemptState};
 
-/// How long a retry may take to arrive: it counts once its last byte has arrived, and on a new connection
-/// that takes some round trips and the endpoint's work.
+/// Maximum time that a retry takes to arrive at an endpoint. A retry has arrived with its last byte, which on
+/// a new connection takes several round trips and processing time at the endpoint.
 const MAX_TRANSIT_TIME: Duration = Duration::from_millis(20);
 
-/// Whether a request may be sent to this endpoint now.
+/// Returns whether a request may be sent to this endpoint now.
 pub(super) fn may_send(
     settings: &Settings,
     request: &ActiveRequest,
@@ -26,7 +26,7 @@
         })
 }
 
-/// Whether a request that may have been executed at one endpoint may go to another, or to the same one again.
+/// Returns whether a request may be sent to `to` although the endpoint `earlier` may have executed it.
 fn may_execute_again(class: &RequestClass, earlier: &EndpointInfo, to: &EndpointInfo) -> bool {
     match class.idempotency {
         Idempotency::Idempotent => true,
@@ -34,7 +34,7 @@
         Idempotency::IdempotentWithKey { scope, .. } => match scope {
             IdempotencyScope::All => true,
             IdempotencyScope::Zone => earlier.zone == to.zone,
-            // Of endpoints without a cell each knows only its own keys, and none of them after a restart.
+            // An endpoint without a cell knows only its own keys, and loses them when it restarts.
             IdempotencyScope::Cell if earlier.cell.is_none() && to.cell.is_none() => {
                 (earlier.id, earlier.started_at) == (to.id, to.started_at)
             }
@@ -43,9 +43,18 @@
     }
 }
 
-/// When endpoints begin to forget the key of a request that may have been executed: an attempt that begins
-/// then might be executed again. `first attempt + idempotency window - time to arrive`; none for other
-/// requests. A clock coarser than the time to arrive takes its place.
+/// Returns the deadline for starting a retry of a request with an idempotency key that may have been
+/// executed. Endpoints may have forgotten the key when a later retry arrives, and would execute the request
+/// again. Other requests have no such deadline.
+///
+/// ```text
+/// deadline = first + window - max(clock, transit)
+///
+/// first    time of the first attempt that may have been executed
+/// window   idempotency window of the class
+/// clock    Settings::clock_granularity
+/// transit  MAX_TRANSIT_TIME
+/// ```
 pub(super) fn retry_deadline(settings: &Settings, request: &ActiveRequest) -> Option<Timestamp> {
     let class = &settings.classes[request.entry.class];
     let Idempotency::IdempotentWithKey { window, .. } = class.idempotency else { return None };
--- a/src/balancer/streaming.rs
+++ b/src/balancer/streaming.rs
@@ -1,13 +1,14 @@
-//! Streaming bodies. An endpoint works on a request from its last byte to the first byte of its response, and
-//! only for that time is the attempt load.
+//! Streaming of request and response bodies. An endpoint works on a request from the last byte of the request
+//! to the first byte of the response, and the attempt counts as load only for that time.
 
 use super::Balancer;
 use super::interface::{AttemptNumber, Outcome, RequestId, Timestamp};
 use super::requests::ActiveRequest;
 
 impl Balancer {
-    /// A request's body is being forwarded and can't be sent again. Until its last byte the endpoint only
-    /// waits, and the end of the attempt tells when the request is over.
+    /// Records that a request's body is being forwarded and can't be sent again. The endpoint is idle until
+    /// the last byte, so the attempt does not count as load. The request loses its answer deadline, and ends
+    /// with its attempt.
     pub(super) fn on_body_forwarded(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.body_forwarded = true;
@@ -21,7 +22,8 @@
         }
     }
 
-    /// The last byte of such a body has been received.
+    /// Records that the last byte of a forwarded body was received: the endpoint starts to execute the
+    /// attempt.
     pub(super) fn on_body_completed(&mut self, id: RequestId) {
         let request = self.requests.get_mut(&id);
         let attempt = request.and_then(ActiveRequest::first_in_flight).filter(|attempt| !attempt.executing);
@@ -33,8 +35,8 @@
         }
     }
 
-    /// A response has begun: the endpoint has done its work, and how long the client takes tells nothing of
-    /// it.
+    /// Records that a response has begun: the endpoint has done its work. The latency is taken now, since the
+    /// rest depends on how fast the client reads.
     pub(super) fn on_response_started(&mut self, id: RequestId, number: AttemptNumber) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.finished = true;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions of a reverse proxy that balances requests over HTTP endpoints.
+//! The decision library of a load-balancing reverse proxy for HTTP/1.1.
 //!
-//! [`Balancer`] is built from [`Settings`] and a seed. A node passes it what has happened as [`Event`]s and
-//! carries out the [`Action`]s that it returns. It does no I/O and reads no clock: the same events give the
+//! A [`Balancer`] is created from [`Settings`] and a seed. A node passes [`Event`]s to it and carries out the
+//! [`Action`]s that it returns. The balancer does no I/O and reads no clock: the same events always give the
 //! same actions.
 //!
 //! # Example
@@ -25,12 +25,12 @@
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // The endpoint list as the node last had it. The clock is the node's own.
+//! // The endpoint list that the node last had. Timestamps are from the node's own clock.
 //! let ready = |id| EndpointInfo { id, state: EndpointState::Ready, ..EndpointInfo::default() };
 //! let now = Timestamp::from_micros(1_000);
 //! balancer.handle(now, Event::CachedSnapshot((1..=8).map(ready).collect()), &mut actions);
 //!
-//! // A request arrives: the balancer says where to send it, and when to wake it.
+//! // A request arrives: the balancer returns where to send it, and the timer for its re-evaluation.
 //! let request = Request {
 //!     id: 7,
 //!     class: 0,
@@ -43,7 +43,7 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: 7, .. })));
 //! actions.clear();
 //!
-//! // The response has gone to the client, and nothing more is kept of the request.
+//! // The client has got the response, and the balancer no longer tracks the request.
 //! let ended = AttemptResult {
 //!     request: 7,
 //!     attempt: 0,
@@ -56,10 +56,11 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 //!
-//! # What the node has to do
+//! # Obligations of the node
 //!
-//! Each [`Action::Send`] is followed by one [`Event::AttemptEnded`]. The first response goes to the client at
-//! once and finishes its request. An attempt times out when the client stops waiting, at the latest.
+//! The node reports the end of each attempt that an [`Action::Send`] started with one
+//! [`Event::AttemptEnded`]. It forwards the first response to the client at once, which finishes the request.
+//! An attempt times out no later than the client stops waiting.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/tests/balancer/hedging.rs
+++ b/tests/balancer/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedged attempts.
+//! Hedging of attempts that get no response in time.
 
 use mothspool::*;
 
@@ -13,7 +13,8 @@
     assert!(sends(&hedge, id).len() == 1 && sends(&hedge, id)[0] != paused);
 }
 
-/// Hedges of long requests lose to them and fill endpoints; hedges past pausing endpoints win.
+/// Hedges of long requests lose the race and add load to endpoints. Hedges of attempts at paused endpoints
+/// win.
 #[test]
 fn hedges_use_more_than_half_of_a_pool_only_while_some_of_them_win() {
     for winner in [0, 1] {
--- a/tests/balancer/lifecycle.rs
+++ b/tests/balancer/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a request, discovery, and odd input.
+//! The lifecycle of a request, polling of discovery, invalid settings and unusual input.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     assert_eq!(
         node.end_attempt(id, 0, Outcome::Cancelled, MS),
         [],
-        "an unknown request's outcome is ignored"
+        "the outcome of an unknown request is ignored"
     );
 }
 
@@ -49,9 +49,9 @@
 fn rejects_invalid_settings() {
     type Invalidate = fn(&mut Settings);
     let cases: [(Invalidate, &str); 9] = [
-        (|s| s.classes.clear(), "there are no request classes: services is empty"),
+        (|s| s.classes.clear(), "services is empty, so there are no request classes"),
         (|s| s.node_count = 0, "balancers is 0"),
-        (|s| s.node_index = 2, "rank is 2, not below balancers, which is 2"),
+        (|s| s.node_index = 2, "rank is 2, but must be below balancers, which is 2"),
         (|s| s.max_attempts = 0, "allowed.max_attempts is 0"),
         (|s| s.slow_start_from = f64::NAN, "obligations.cold_from is NaN"),
         (|s| s.overload_multiple = -1.0, "obligations.fall_multiple is -1"),
@@ -88,14 +88,14 @@
         affinity_key: None,
         tenant: Some(77),
     };
-    assert!(rejected(&node.handle(Event::RequestArrived(request)), 900), "an unknown class");
+    assert!(rejected(&node.handle(Event::RequestArrived(request)), 900), "a request of an unknown class");
     let request = Request {
         id: 901,
         class: IDEMPOTENT,
         expected_work: Some(Duration::from_micros(u64::MAX)),
         ..request
     };
-    assert!(rejected(&node.handle(Event::RequestArrived(request)), 901), "no time left");
+    assert!(rejected(&node.handle(Event::RequestArrived(request)), 901), "a request with no time left");
     node.handle(Event::ResponseStarted(12_345, 3));
     node.handle(Event::ClientDisconnected(12_345));
     node.handle(Event::TimerFired(TimerToken::Request(12_345)));
@@ -107,5 +107,5 @@
         Event::RequestArrived(Request { id: 1, class: IDEMPOTENT, remaining: S, ..request }),
         &mut actions,
     );
-    assert!(rejected(&actions, 1), "a request before any list");
+    assert!(rejected(&actions, 1), "a request before the first endpoint list");
 }
--- a/tests/balancer/main.rs
+++ b/tests/balancer/main.rs
@@ -1,4 +1,5 @@
-//! The balancer through its public interface: scenarios of one node by concern, and random legal sequences.
+//! Tests of the balancer through its public interface: scenarios of one node, and random legal sequences of
+//! events.
 
 mod admission;
 mod concurrency;
--- a/tests/balancer/random_scenario.rs
+++ b/tests/balancer/random_scenario.rs
@@ -8,47 +8,47 @@
 
 use crate::support::*;
 
-/// What the scenario knows of one attempt.
+/// The scenario's own record of an attempt.
 pub struct AttemptRecord {
     pub endpoint: EndpointInfo,
     pub sent_at: Timestamp,
-    /// None while it is in flight.
+    /// How the attempt ended; none while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
-/// What the scenario knows of one request.
+/// The scenario's own record of a request.
 pub struct RequestRecord {
     pub class: usize,
     pub deadline: Timestamp,
-    /// No answer is owed any more.
+    /// Whether the request needs no answer any more.
     pub finished: bool,
     pub attempts: Vec<AttemptRecord>,
-    /// Its body is being forwarded, and can't be sent again.
+    /// Whether its body is being forwarded, so that it can't be sent again.
     pub body_forwarded: bool,
 }
 
-/// A node, what has happened to it, and what it did. Each action is judged as it comes.
+/// A node, and a record of its events and actions. Each action is checked as soon as the node returns it.
 pub struct RandomScenario {
     pub settings: Settings,
     pub node: TestNode,
     rng: fastrand::Rng,
-    /// The endpoint list as the node was last notified of it.
+    /// The endpoint list that the node was last notified of.
     pub listed: BTreeMap<EndpointId, EndpointInfo>,
     pub under_maintenance: BTreeSet<EndpointId>,
     pub requests: BTreeMap<RequestId, RequestRecord>,
     pub timers: BTreeSet<(Timestamp, TimerToken)>,
-    /// Final answers that the node gave without a response.
+    /// Number of final answers that the node gave without a response.
     pub final_answers: usize,
-    /// The actions after each event.
+    /// The actions in response to each event.
     pub action_log: Vec<Vec<Action>>,
 }
 
-/// A duration of whole microseconds from a range.
+/// Returns a random duration from the range, in whole microseconds.
 fn random_duration(rng: &mut fastrand::Rng, range: Range<Duration>) -> Duration {
     Duration::from_micros(rng.u64(range.start.as_micros() as u64..range.end.as_micros() as u64))
 }
 
-/// Any idempotency, however short its window, or that of the class as it was.
+/// Returns a random idempotency, possibly with a very short or endless window, or the given one.
 fn random_idempotency(rng: &mut fastrand::Rng, unchanged: Idempotency) -> Idempotency {
     let scopes = [IdempotencyScope::All, IdempotencyScope::Zone, IdempotencyScope::Cell];
     let scope = *rng.choice(&scopes).unwrap();
@@ -87,10 +87,10 @@
 }
 
 impl RandomScenario {
-    /// Draws a scenario, and lets so many things happen to it. All attempts have ended then.
+    /// Runs a random scenario of `steps` events and then ends all attempts that are still in flight.
     pub fn run(seed: u64, steps: usize) -> RandomScenario {
         let mut scenario = RandomScenario::new(seed);
-        // Every third scenario is quiet, with endpoints that take their time: attempts are hedged there.
+        // Every third scenario has little traffic and slow endpoints, so that attempts are hedged.
         let (arrivals_below, ends_below) = if seed.is_multiple_of(3) { (25, 35) } else { (50, 85) };
         for _ in 0..steps {
             match scenario.rng.u32(..100) {
@@ -136,7 +136,7 @@
         scenario
     }
 
-    /// Whether no request is owed an answer any more.
+    /// Returns whether all requests have been answered.
     pub fn all_answered(&self) -> bool {
         self.requests.values().all(|request| request.finished)
     }
@@ -149,7 +149,7 @@
         self.action_log.push(actions);
     }
 
-    /// Lets time pass up to `until`, with every timer at its time.
+    /// Advances the clock to `until`, and fires every timer at its time.
     fn advance_to(&mut self, until: Timestamp) {
         while let Some(&(at, token)) = self.timers.first().filter(|(at, _)| *at <= until) {
             self.timers.remove(&(at, token));
@@ -179,7 +179,7 @@
         self.handle(Event::RequestArrived(request));
     }
 
-    /// A random attempt in flight ends; false if there is none.
+    /// Ends a random attempt in flight; returns false if there is none.
     fn end_attempt(&mut self) -> bool {
         let mut in_flight: Vec<(RequestId, usize)> = Vec::new();
         for (id, request) in &self.requests {
@@ -240,7 +240,7 @@
         self.handle(Event::ClientDisconnected(id));
     }
 
-    /// The body or the response of a request with one attempt in flight passes through.
+    /// Starts to forward the body, or later the response, of a request with one attempt in flight.
     fn stream_body(&mut self) {
         let has_one_in_flight = |request: &RequestRecord| {
             !request.finished && request.attempts.len() == 1 && request.attempts[0].outcome.is_none()
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Operators take an endpoint out of use or put it back, perhaps one that no list names.
+    /// Starts or ends the maintenance of a random endpoint, possibly one that no endpoint list contains.
     fn change_maintenance(&mut self) {
         let id = self.rng.u64(1..18);
         if self.rng.bool() {
--- a/tests/balancer/retries.rs
+++ b/tests/balancer/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: whether, where and until when.
+//! Retries: whether, where and until when a request is retried.
 
 use mothspool::*;
 
@@ -25,10 +25,11 @@
     let (id, _) = node.arrive(KEYED_BY_CELL, Some(0));
     node.now += 500 * MS;
     let actions = node.end_attempt(id, 0, Outcome::Error, 500 * MS);
-    assert!(failed(&actions, id), "its endpoints have forgotten it");
+    assert!(failed(&actions, id), "its idempotency window has ended");
 }
 
-/// A list may name no cells: each endpoint then knows its own keys alone, until it restarts.
+/// The endpoint list may have no cells. Each endpoint then knows only its own keys, and loses them when it
+/// restarts.
 #[test]
 fn a_keyed_request_without_cells_is_retried_only_at_the_same_endpoint() {
     for restarts in [false, true] {
@@ -50,8 +51,8 @@
     }
 }
 
-/// Connections may come up late: a retry says until when it may begin. Windows are 400 ms here, from the
-/// first attempt on; 20 ms of them are the time to arrive.
+/// Connections may take long to open, so the action that sends a retry has a deadline for its start. It is
+/// 380 ms after the first attempt: the idempotency window of 400 ms less 20 ms for the retry to arrive.
 #[test]
 fn only_retries_of_keyed_requests_that_may_have_been_executed_have_a_deadline() {
     let begin_by = |actions: &[Action]| {
@@ -64,7 +65,7 @@
         let (id, first) = node.arrive(class, Some(0));
         assert_eq!(begin_by(&first), Some(None));
         node.now += 20 * MS;
-        // What was not executed anywhere may begin at any time, and the window counts from then.
+        // A request that was not executed has no deadline, and its window counts from the next attempt.
         assert_eq!(begin_by(&node.end_attempt(id, 0, Outcome::ConnectFailed, 20 * MS)), Some(None));
         let sent = node.now;
         node.now += 30 * MS;
@@ -75,7 +76,8 @@
     }
 }
 
-/// It can't be sent any more, and its client gets the answer at once: not when its time is up.
+/// After the idempotency window the request can't be sent any more, and the client gets its answer at once
+/// instead of at the deadline.
 #[test]
 fn a_queued_retry_fails_when_its_idempotency_window_ends() {
     let mut s = settings();
@@ -86,13 +88,13 @@
     let (other, queued) = node.arrive(IDEMPOTENT, None);
     assert_eq!(sends(&queued, other), []);
     node.now += 20 * MS;
-    // The one of the higher weight is sent.
+    // The request with the higher priority weight is sent.
     let actions = node.end_attempt(id, 0, Outcome::Reset, 20 * MS);
     assert_eq!((sends(&actions, other), sends(&actions, id)), (vec![1], vec![]));
     let mut after = 20 * MS;
     while !failed(&node.fire_timer(id, 5 * MS), id) {
         after += 5 * MS;
-        assert!(after < 385 * MS, "queued though its endpoints will have forgotten it");
+        assert!(after < 385 * MS, "queued after the end of its idempotency window");
     }
-    assert!(after >= 370 * MS, "failed while it might have been sent: {after:?}");
+    assert!(after >= 370 * MS, "failed while it could still be sent: {after:?}");
 }
--- a/tests/balancer/rule_checks.rs
+++ b/tests/balancer/rule_checks.rs
@@ -1,4 +1,4 @@
-//! Judges each action of a node by the rules.
+//! Checks of each action of a node against the rules of the protocol.
 
 use std::time::Duration;
 
@@ -6,20 +6,23 @@
 
 use crate::random_scenario::{AttemptRecord, RandomScenario, RequestRecord};
 
-/// How long a retry may take to arrive at its endpoint.
+/// Maximum time that a retry takes to arrive at its endpoint.
 const TRANSIT_TIME: Duration = Duration::from_millis(20);
 
 impl RandomScenario {
-    /// Judges an action, and takes note of it.
+    /// Checks an action against the rules, and records it.
     pub fn check_action(&mut self, action: &Action) {
         match *action {
             Action::Send { request, endpoint, begin_by } => self.check_send(request, endpoint, begin_by),
             Action::Reject { request, .. } => self.check_final_answer(request, true),
             Action::Fail(request) => self.check_final_answer(request, false),
             Action::Cancel(request, attempt) => {
-                assert!(self.settings.cancellation, "cancelled where that is not allowed");
+                assert!(
+                    self.settings.cancellation,
+                    "cancelled an attempt although the settings don't allow it"
+                );
                 let attempts = &self.requests[&request].attempts;
-                assert!(attempts.len() > usize::from(attempt), "cancelled what was never sent");
+                assert!(attempts.len() > usize::from(attempt), "cancelled an attempt that was never sent");
             }
             Action::SetTimer { after, token } => {
                 self.timers.insert((self.node.now + after, token));
@@ -31,19 +34,19 @@
     fn check_send(&mut self, id: RequestId, to: EndpointId, begin_by: Option<Timestamp>) {
         let (now, s) = (self.node.now, &self.settings);
         let request = self.requests.get_mut(&id).expect("a request that has arrived");
-        assert!(!request.finished, "sent after its end");
-        assert!(!request.body_forwarded, "sent without its body");
+        assert!(!request.finished, "sent a finished request");
+        assert!(!request.body_forwarded, "sent a request again whose body is not kept");
         let endpoint = self.listed[&to];
-        assert_eq!(endpoint.state, EndpointState::Ready, "sent to an endpoint that drains or is gone");
+        assert_eq!(endpoint.state, EndpointState::Ready, "sent to an endpoint that is draining or gone");
         assert!(!self.under_maintenance.contains(&to), "sent to an endpoint under maintenance");
         let in_flight = request.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count();
-        assert!(in_flight == 0 || s.hedging, "a hedge where there may be none");
+        assert!(in_flight == 0 || s.hedging, "hedged although the settings don't allow it");
         assert!(request.attempts.len() < usize::from(s.max_attempts), "too many attempts");
         for earlier in &request.attempts {
             let class = &s.classes[request.class];
             let is_safe = earlier.outcome.is_some_and(Outcome::not_executed)
                 || may_execute_again(class, earlier, &endpoint, now, begin_by);
-            assert!(is_safe, "it could be executed twice");
+            assert!(is_safe, "the request could be executed twice");
         }
         request.attempts.push(AttemptRecord { endpoint, sent_at: now, outcome: None });
     }
@@ -51,15 +54,18 @@
     fn check_final_answer(&mut self, id: RequestId, rejected: bool) {
         let request = self.requests.get_mut(&id).expect("a request that has arrived");
         assert!(!request.finished, "answered twice");
-        assert!(self.node.now <= request.deadline, "answered too late");
+        assert!(self.node.now <= request.deadline, "answered after the deadline");
         let class = &self.settings.classes[request.class];
-        assert!(!rejected || may_client_retry(class, request), "rejected what may have been executed");
+        assert!(
+            !rejected || may_client_retry(class, request),
+            "rejected a request that may have been executed"
+        );
         request.finished = true;
         self.final_answers += 1;
     }
 }
 
-/// Whether a client may send a request again.
+/// Returns whether a client may safely retry a request.
 fn may_client_retry(class: &RequestClass, request: &RequestRecord) -> bool {
     let not_executed = request.attempts.iter().all(|a| a.outcome.is_some_and(Outcome::not_executed));
     not_executed
@@ -69,7 +75,7 @@
         )
 }
 
-/// Whether a request may go to an endpoint though an earlier attempt may have been executed.
+/// Returns whether a request may be sent to an endpoint although an earlier attempt may have been executed.
 fn may_execute_again(
     class: &RequestClass,
     earlier: &AttemptRecord,
--- a/tests/balancer/rules.rs
+++ b/tests/balancer/rules.rs
@@ -1,4 +1,5 @@
-//! The four rules of the protocol on random legal sequences, judged without the balancer's own bookkeeping.
+//! The four rules of the protocol on random legal sequences of events, checked independently of the
+//! balancer's own records.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,7 +17,7 @@
         assert!(scenario.all_answered(), "seed {seed}: a request got no answer");
         final_answers += scenario.final_answers;
     }
-    assert!(final_answers > 1_000, "only {final_answers} final answers were put to the test");
+    assert!(final_answers > 1_000, "only {final_answers} final answers were checked");
 }
 
 #[test]
@@ -34,14 +35,14 @@
     }
 }
 
-/// Any window that the work of an endpoint that is warming up is counted over.
+/// Window over which the attempts at an endpoint in slow start are counted.
 const WINDOW: Duration = Duration::from_secs(2);
-/// The multiple of what it can do at which it fails; the settings state a lower one.
+/// Multiple of its current capacity at which an endpoint in slow start fails. The settings state a lower one.
 const OVERLOAD_MULTIPLE: f64 = 3.0;
-/// How long each request takes.
+/// Duration of each attempt.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 
-/// When endpoint 3 starts, and what each endpoint was sent after that.
+/// Start time of endpoint 3, and the times of the attempts at each endpoint since then.
 struct SlowStartRun {
     settings: Settings,
     started: Timestamp,
@@ -49,8 +50,8 @@
     sent: BTreeMap<EndpointId, Vec<Timestamp>>,
 }
 
-/// A node of ten endpoints, a request each 5 ms for 20 s. One endpoint restarts after 5 s, or is put back
-/// then by operators who took it out before, of which lists say nothing.
+/// Runs a node with ten endpoints and one request every 5 ms for 20 s. After 5 s, endpoint 3 restarts or
+/// returns from maintenance. The endpoint list does not show the maintenance.
 fn run_slow_start(seed: u64, maintenance: bool) -> SlowStartRun {
     let settings = settings();
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -84,9 +85,9 @@
     SlowStartRun { settings, started, ended: node.now, sent }
 }
 
-/// The budget of rule four: the part of an endpoint that is warming up in what warm endpoints of the same
-/// node get, over any window, stays under the failing multiple of its capacity, here that at the window's
-/// start.
+/// Rule 4 limits the load of an endpoint in slow start: over any window, its attempts stay below
+/// `OVERLOAD_MULTIPLE` times its capacity. The capacity is a fraction of what a warm endpoint of the same
+/// node gets, and the test takes the one at the start of the window.
 #[test]
 fn an_endpoint_in_slow_start_is_never_overloaded() {
     for (seed, maintenance) in (0..10).zip([false, true].into_iter().cycle()) {
@@ -95,13 +96,16 @@
         let all: usize = sent.values().map(Vec::len).sum();
         let warm_rate = all as f64 / micros(ended.saturating_duration_since(started)) / 10.0;
         let warming_up = &sent[&3];
-        assert!(!warming_up.is_empty(), "an endpoint that is warming up is tried");
+        assert!(!warming_up.is_empty(), "an endpoint in slow start got no attempts");
         for &from in warming_up {
             let within = warming_up.iter().filter(|at| (from..from + WINDOW).contains(at)).count() as f64;
             let age = micros(from.saturating_duration_since(started)) / micros(s.slow_start_window);
             let capacity =
                 warm_rate * micros(WINDOW) * (s.slow_start_from + (1.0 - s.slow_start_from) * age.min(1.0));
-            assert!(within <= OVERLOAD_MULTIPLE * capacity + 2.0, "seed {seed}: {within} against {capacity}");
+            assert!(
+                within <= OVERLOAD_MULTIPLE * capacity + 2.0,
+                "seed {seed}: {within} attempts at a capacity of {capacity}"
+            );
         }
     }
 }
--- a/tests/balancer/support.rs
+++ b/tests/balancer/support.rs
@@ -1,19 +1,18 @@
-//! Settings, endpoint lists and a node with its own clock, and the sequences of events that several tests
-//! need.
+//! Settings, endpoint lists, a node with its own clock, and sequences of events that several tests use.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use mothspool::*;
 
-/// A millisecond.
+/// One millisecond.
 pub const MS: Duration = Duration::from_millis(1);
-/// A second.
+/// One second.
 pub const S: Duration = Duration::from_secs(1);
 /// The start of the node's clock.
 pub const START: Timestamp = Timestamp::from_micros(0);
 
-/// A class with an objective of 300 ms and a deadline of 1 s.
+/// Returns a class with a latency objective of 300 ms and a deadline of 1 s.
 pub fn class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective: 300 * MS,
@@ -25,13 +24,13 @@
     }
 }
 
-/// The classes of [`settings`]: their indices.
+/// Indices of the classes in [`settings`].
 pub const IDEMPOTENT: usize = 0;
 pub const NON_IDEMPOTENT: usize = 1;
 pub const KEYED_BY_CELL: usize = 2;
 pub const KEYED_BY_ALL: usize = 3;
 
-/// Four tenants with large quotas; one class of each kind.
+/// Returns settings with four tenants that have large quotas, and one class of each kind.
 pub fn settings() -> Settings {
     let keyed = |scope| Idempotency::IdempotentWithKey { scope, window: 400 * MS };
     Settings {
@@ -59,7 +58,7 @@
     }
 }
 
-/// A ready endpoint, warm since long, in one of three cells.
+/// Returns a ready endpoint that started long ago, in one of three cells.
 pub fn endpoint(id: EndpointId) -> EndpointInfo {
     EndpointInfo {
         id,
@@ -80,7 +79,7 @@
 pub struct TestNode {
     pub balancer: Balancer,
     pub now: Timestamp,
-    /// The id of the last request.
+    /// Id of the last request.
     pub last_request: RequestId,
 }
 
@@ -92,14 +91,14 @@
         node
     }
 
-    /// Passes an event to the balancer, and returns its actions.
+    /// Passes an event to the balancer and returns its actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// A request arrives whose client waits for a second.
+    /// Passes the arrival of a request whose client waits for 1 s.
     pub fn arrive(&mut self, class: usize, tenant: Option<u32>) -> (RequestId, Vec<Action>) {
         self.last_request += 1;
         let id = self.last_request;
@@ -107,7 +106,7 @@
         (id, self.handle(Event::RequestArrived(request)))
     }
 
-    /// An attempt ends; if it was served, its request is finished.
+    /// Passes the end of an attempt, which finishes the request if it was served.
     pub fn end_attempt(
         &mut self,
         request: RequestId,
@@ -125,14 +124,14 @@
         }))
     }
 
-    /// Lets time pass and fires this request's timer.
+    /// Advances the clock and fires this request's timer.
     pub fn fire_timer(&mut self, request: RequestId, after: Duration) -> Vec<Action> {
         self.now += after;
         self.handle(Event::TimerFired(TimerToken::Request(request)))
     }
 }
 
-/// Where the actions send the request, in order.
+/// Returns the endpoints that the actions send the request to, in order.
 pub fn sends(actions: &[Action], of: RequestId) -> Vec<EndpointId> {
     let to = |a: &Action| match a {
         Action::Send { request, endpoint, .. } if *request == of => Some(*endpoint),
@@ -141,18 +140,18 @@
     actions.iter().filter_map(to).collect()
 }
 
-/// Whether the final answer to a request is a rejection.
+/// Returns whether the final answer to a request is a rejection.
 pub fn rejected(actions: &[Action], of: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == of))
 }
 
-/// Whether the final answer to a request is a failure.
+/// Returns whether the final answer to a request is a failure.
 pub fn failed(actions: &[Action], of: RequestId) -> bool {
     actions.contains(&Action::Fail(of))
 }
 
-/// Serves 200 requests of each tenant, one after the other, and returns the endpoints that each tenant
-/// reached.
+/// Serves 200 requests of each tenant, one after the other, and returns the endpoints that each tenant's
+/// requests were sent to.
 pub fn endpoints_reached(
     node: &mut TestNode,
     tenants: &[Option<u32>],
@@ -169,7 +168,8 @@
     reached
 }
 
-/// A node of which tenant 0 has a pool of four endpoints, and these; the other label's pool is another one.
+/// Returns a node where the pool of tenant 0 has four endpoints, and these endpoints. The other label has a
+/// different pool.
 pub fn pool_of_four() -> (TestNode, Vec<EndpointId>) {
     let mut small_shares = settings();
     small_shares.tenants.iter_mut().for_each(|t| t.service_share = 0.1);
@@ -180,7 +180,8 @@
     (node, pool)
 }
 
-/// Sends requests of a class, which end so at the failing endpoints; returns how many met one.
+/// Sends requests of a class, one after the other. Attempts at the failing endpoints end with `outcome`, all
+/// others are served. Returns the number of requests that were sent to a failing endpoint.
 pub fn count_failures(
     node: &mut TestNode,
     class: usize,
@@ -198,12 +199,12 @@
     (0..requests).filter(one).count()
 }
 
-/// Settings of one of many nodes: each of them prefers a subset of the endpoints.
+/// Returns the settings of one of many nodes, each of which prefers a subset of the endpoints.
 pub fn many_nodes(nodes: u32, node_index: u32) -> Settings {
     Settings { node_count: nodes, node_index, ..settings() }
 }
 
-/// Serves requests of one tenant one after the other, and counts the attempts at each endpoint.
+/// Serves requests of one tenant, one after the other, and returns the number of attempts at each endpoint.
 pub fn attempts_by_endpoint(node: &mut TestNode, requests: usize) -> BTreeMap<EndpointId, usize> {
     let mut attempts = BTreeMap::new();
     for _ in 0..requests {
--- a/tests/node/configuration_errors.rs
+++ b/tests/node/configuration_errors.rs
@@ -96,7 +96,7 @@
     config["settings"]["balancers"] = json!(3);
     config["settings"]["rank"] = json!(3);
     let line = rejection(&config.to_string(), None);
-    assert_eq!(line, "settings: rank is 3, not below balancers, which is 3");
+    assert_eq!(line, "settings: rank is 3, but must be below balancers, which is 3");
     let line = rejection_with("/settings/services/0/deadline_us", json!(0));
     assert!(line.starts_with("settings: services.0.goal_time_us is 0ns"), "{line}");
 }
