--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,4 +1,4 @@
-//! The life of a request: it arrives, is queued and sent, perhaps sent again, and gets one final answer.
+//! The lifecycle of a request: arrival, queueing, attempts, retries, and one final answer.
 
 use std::time::Duration;
 
@@ -11,15 +11,16 @@
 use super::retry::{may_send, retry_deadline};
 use super::subsets::pool_of;
 
-/// A request that was not executed leaves the queue after this part of its time: the protocol charges for
-/// those that are rejected after more than half of it.
-const MAX_QUEUE_FRACTION: f64 = 0.45;
-/// A request is answered so many steps of the clock before its client stops waiting.
-const ABANDON_CLOCK_STEPS: u32 = 2;
+/// Maximum fraction of its remaining time, as of its arrival, that a request spends in the queue if it was
+/// not executed. The protocol charges for requests that are rejected after more than half of that time.
+const MAX_QUEUE_TIME_FRACTION: f64 = 0.45;
+/// Time from the balancer's last possible final answer to the moment when the client stops waiting, in
+/// multiples of [`Settings::clock_granularity`](super::Settings::clock_granularity).
+const ANSWER_MARGIN_TICKS: u32 = 2;
 
 impl Balancer {
-    /// Queues a request and sends it if there is capacity, or sheds it.
-    pub(super) fn request_arrived(&mut self, request: Request) {
+    /// Sheds a new request, or queues it and sends it as soon as there is capacity.
+    pub(super) fn on_request_arrived(&mut self, request: Request) {
         let (id, now) = (request.id, self.now);
         let Some(class) = self.settings.classes.get(request.class) else {
             return self.actions.push(Action::Reject { request: id, retry_after: Duration::ZERO });
@@ -28,30 +29,30 @@
         let within_quota = self.admission.take_quota(request.tenant, now);
         let entry = QueuedRequest { id, class: request.class, within_quota, objective_at };
         let pool = pool_of(request.tenant, self.label_salt);
-        let margin = self.settings.clock_granularity.saturating_mul(ABANDON_CLOCK_STEPS);
-        let abandon_at = now + request.remaining.saturating_sub(margin);
-        let queue_us = as_micros_f64(request.remaining) * MAX_QUEUE_FRACTION;
+        let margin = self.settings.clock_granularity.saturating_mul(ANSWER_MARGIN_TICKS);
+        let answer_deadline = now + request.remaining.saturating_sub(margin);
+        let queue_us = as_micros_f64(request.remaining) * MAX_QUEUE_TIME_FRACTION;
         let queue_until = now + duration_from_micros_f64(queue_us);
         let affinity_key = request.affinity_key;
-        let rest = ActiveRequest { queued: true, ..ActiveRequest::default() };
+        let defaults = ActiveRequest { queued: true, ..ActiveRequest::default() };
         self.queues[pool].push(entry);
-        let active = ActiveRequest { entry, pool, affinity_key, abandon_at, queue_until, ..rest };
+        let active = ActiveRequest { entry, pool, affinity_key, answer_deadline, queue_until, ..defaults };
         self.requests.insert(id, active);
-        // One that arrives with no time left must not be sent: its answer would be late in any case.
+        // A request that arrives with no time left is not sent: its response would miss the deadline.
         let visibility = self.concurrency.local_load_visibility();
         let admission = self.admission.probability(now, &entry, &self.latencies, visibility);
-        if abandon_at <= now || self.random.f64() >= admission {
+        if answer_deadline <= now || self.random.f64() >= admission {
             return self.reject_or_fail(id);
         }
         self.dispatch();
         self.reevaluate(id);
     }
 
-    /// Sends a request to endpoint `i`.
-    pub(super) fn send(&mut self, id: RequestId, i: usize) {
+    /// Sends a request to the endpoint at this index of the table.
+    pub(super) fn send(&mut self, id: RequestId, endpoint_index: usize) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let begin_by = retry_deadline(&self.settings, request);
-        let endpoint = &mut self.table.endpoints[i];
+        let endpoint = &mut self.table.endpoints[endpoint_index];
         endpoint.in_flight += 1;
         endpoint.last_sent = self.now;
         self.table.maintenance.mark_probed(endpoint.info.id);
@@ -61,9 +62,9 @@
         self.schedule(id);
     }
 
-    /// Learns from the end of an attempt; then the request is finished, queued again or given its final
+    /// Records the outcome of an attempt, then finishes the request, queues it for a retry or gives its final
     /// answer.
-    pub(super) fn attempt_ended(&mut self, result: AttemptResult) {
+    pub(super) fn on_attempt_ended(&mut self, result: AttemptResult) {
         let (id, outcome) = (result.request, result.outcome);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.attempt_in_flight(result.attempt) else { return };
@@ -75,7 +76,7 @@
             self.hedges.record(result.attempt > 0);
         }
         let entry = request.entry;
-        self.learn(&entry, ended, outcome, result.elapsed);
+        self.record_outcome(&entry, ended, outcome, result.elapsed);
         if self.requests[&id].finished {
             self.finish(id);
         } else if !self.requeue(id) {
@@ -84,7 +85,7 @@
         self.dispatch();
     }
 
-    /// Queues a request again that has no attempt in flight; false if it can't be sent any more.
+    /// Queues a request for a retry if it has no attempt in flight. Returns false if it can't be sent again.
     fn requeue(&mut self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         if request.is_in_flight() || request.queued {
@@ -92,7 +93,7 @@
         }
         let info = |i: &usize| &self.table.endpoints[*i].info;
         let may_send_to = |i: &usize| may_send(&self.settings, request, info(i), self.now);
-        if !self.members(request.pool).iter().any(may_send_to) || self.now >= request.abandon_at {
+        if !self.members(request.pool).iter().any(may_send_to) || self.now >= request.answer_deadline {
             return false;
         }
         self.queues[request.pool].push(request.entry);
@@ -103,7 +104,7 @@
         true
     }
 
-    /// Cancels all attempts in flight but one, where cancelling is allowed.
+    /// Cancels all attempts in flight, except for the given one, if the settings allow cancellation.
     pub(super) fn cancel_attempts(&mut self, id: RequestId, except: Option<AttemptNumber>) {
         let Some(request) = self.requests.get(&id) else { return };
         for (number, attempt) in (0..).zip(&request.attempts) {
@@ -114,21 +115,21 @@
         }
     }
 
-    /// Gives the final answer without a response: a rejection where it is true and another try by the client
-    /// does no harm, else a failure.
+    /// Gives a final answer without a response: a rejection if the request was not executed or the client may
+    /// safely retry it, else a failure.
     pub(super) fn reject_or_fail(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let (entry, not_executed) = (&request.entry, request.not_executed());
-        // What would return into the same overload, and too late, is asked to stay away.
-        let stay_away = !entry.within_quota || not_executed && self.would_be_late(entry);
-        let retry_after = if stay_away { self.settings.max_retry_after } else { Duration::ZERO };
-        let harmless = not_executed || self.settings.classes[entry.class].idempotency.client_may_retry();
+        // An immediate retry by the client would meet the same overload, and its response would be late.
+        let delay_retry = !entry.within_quota || not_executed && self.would_be_late(entry);
+        let retry_after = if delay_retry { self.settings.max_retry_after } else { Duration::ZERO };
+        let may_reject = not_executed || self.settings.classes[entry.class].idempotency.client_may_retry();
         let rejection = Action::Reject { request: id, retry_after };
-        self.actions.push(if harmless { rejection } else { Action::Fail(id) });
+        self.actions.push(if may_reject { rejection } else { Action::Fail(id) });
         self.finish(id);
     }
 
-    /// No answer is owed any more: forgets the request once none of its attempts is in flight.
+    /// Marks a request as finished, and removes it once none of its attempts is in flight.
     pub(super) fn finish(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.finished = true;
--- a/src/balancer/feedback.rs
+++ b/src/balancer/feedback.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt teaches: of its endpoint, its class and the load of all.
+//! Feedback from finished attempts to the statistics of endpoints, classes and overall load.
 
 use std::time::Duration;
 
@@ -9,10 +9,19 @@
 use super::requests::{Attempt, QueuedRequest};
 
 impl Balancer {
-    /// Learns from the end of an attempt. The response of an endpoint that was not executing it any more, or
-    /// not yet, does not tell how fast the endpoint is; nor does what was sent before its return from
-    /// maintenance.
-    pub(super) fn learn(&mut self, entry: &QueuedRequest, end: Attempt, outcome: Outcome, elapsed: Duration) {
+    /// Updates the statistics with the outcome of an attempt.
+    ///
+    /// Two kinds of attempts are ignored. If the endpoint was not executing a served attempt, because the
+    /// request was incomplete or the response had begun, the elapsed time does not show the endpoint's speed.
+    /// An attempt that was sent before the endpoint's return from maintenance does not show its present
+    /// state.
+    pub(super) fn record_outcome(
+        &mut self,
+        entry: &QueuedRequest,
+        end: Attempt,
+        outcome: Outcome,
+        elapsed: Duration,
+    ) {
         let Ok(i) = self.table.find(end.endpoint.id) else { return };
         self.table.endpoints[i].in_flight -= u32::from(end.executing);
         let (served, elapsed_us) = (outcome == Outcome::Served, as_micros_f64(elapsed));
@@ -25,26 +34,28 @@
             queue_wait.record(self.now, &self.latencies, entry.class, elapsed_us, served);
         }
         match outcome {
-            Outcome::Served => self.learn_latency(entry, i, elapsed_us),
+            Outcome::Served => self.record_latency(entry, i, elapsed_us),
             Outcome::Cancelled | Outcome::NotSent => {}
-            Outcome::Error => self.learn_failure(i, FailureKind::ClassError(entry.class)),
-            _ => self.learn_failure(i, FailureKind::AnyClass),
+            Outcome::Error => self.record_failure(i, FailureKind::ClassError(entry.class)),
+            _ => self.record_failure(i, FailureKind::AnyClass),
         }
     }
 
-    fn learn_latency(&mut self, entry: &QueuedRequest, i: usize, elapsed_us: f64) {
+    /// Updates the latency estimates and the concurrency limit with a served attempt.
+    fn record_latency(&mut self, entry: &QueuedRequest, endpoint_index: usize, elapsed_us: f64) {
         let latency = &mut self.latencies[entry.class];
-        self.table.endpoints[i].latency_ratio.record(elapsed_us, latency.median_us);
+        self.table.endpoints[endpoint_index].latency_ratio.record(elapsed_us, latency.median_us);
         latency.record(elapsed_us);
         let queued = self.queues.iter().flatten().any(|queued| queued.within_quota);
         let sample = LimitSample { latency, elapsed_us, within_quota: entry.within_quota, queued };
         self.concurrency.record(self.now, &sample, self.table.ready.len());
     }
 
-    /// The peers are the endpoints of its pool; for an error, all that are ready.
-    fn learn_failure(&mut self, i: usize, kind: FailureKind) {
-        let is_peer = |pool: &&[usize]| kind == FailureKind::AnyClass && pool.contains(&i);
+    /// Counts a failure of an endpoint and compares it with its peers: all ready endpoints for an error
+    /// response, else the endpoints of its pool.
+    fn record_failure(&mut self, endpoint_index: usize, kind: FailureKind) {
+        let is_peer = |pool: &&[usize]| kind == FailureKind::AnyClass && pool.contains(&endpoint_index);
         let peers = self.pools.iter().map(|pool| &pool.members[..]).find(is_peer);
-        self.table.record_failure(i, peers, kind, self.now);
+        self.table.record_failure(endpoint_index, peers, kind, self.now);
     }
 }
--- a/tests/balancer/lifecycle.rs
+++ b/tests/balancer/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a request, discovery, and odd input.
+//! The lifecycle of a request, polling of discovery, invalid settings and unusual input.
 
 use std::time::Duration;
 
@@ -27,12 +27,12 @@
     assert_eq!(
         node.end_attempt(id, 0, Outcome::Cancelled, MS),
         [],
-        "an unknown request's outcome is ignored"
+        "the outcome of an unknown request is ignored"
     );
 }
 
 #[test]
-fn discovery_is_polled_at_the_start_and_again_after_a_failure() {
+fn polls_discovery_at_startup_and_after_a_failure() {
     let mut polling = settings();
     polling.discovery = DiscoveryMode::Poll { interval: 10 * S };
     let mut node = TestNode::new(polling, vec![]);
@@ -46,12 +46,12 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_are_rejected() {
-    type Spoil = fn(&mut Settings);
-    let cases: [(Spoil, &str); 9] = [
-        (|s| s.classes.clear(), "there are no request classes: services is empty"),
+fn rejects_invalid_settings() {
+    type Invalidate = fn(&mut Settings);
+    let cases: [(Invalidate, &str); 9] = [
+        (|s| s.classes.clear(), "services is empty, so there are no request classes"),
         (|s| s.node_count = 0, "balancers is 0"),
-        (|s| s.node_index = 2, "rank is 2, not below balancers, which is 2"),
+        (|s| s.node_index = 2, "rank is 2, but must be below balancers, which is 2"),
         (|s| s.max_attempts = 0, "allowed.max_attempts is 0"),
         (|s| s.slow_start_from = f64::NAN, "obligations.cold_from is NaN"),
         (|s| s.overload_multiple = -1.0, "obligations.fall_multiple is -1"),
@@ -59,16 +59,16 @@
         (|s| s.classes[1].deadline = Duration::ZERO, "services.1.deadline_us is 0ns"),
         (|s| s.classes[2].late_weight = -0.5, "services.2.late_value is -0.5"),
     ];
-    for (spoil, expected) in cases {
+    for (invalidate, expected) in cases {
         let mut s = settings();
-        spoil(&mut s);
+        invalidate(&mut s);
         let message = Balancer::new(s, 1).err().expect(expected).to_string();
         assert!(message.starts_with("settings: ") && message.contains(expected), "{message}");
     }
 }
 
 #[test]
-fn unusual_but_legal_input_is_handled() {
+fn handles_unusual_but_legal_input() {
     let mut node = TestNode::new(settings(), endpoints(1..5));
     node.now = START + 5 * S;
     let (id, _) = node.arrive(IDEMPOTENT, Some(0));
@@ -88,14 +88,14 @@
         affinity_key: None,
         tenant: Some(77),
     };
-    assert!(rejected(&node.handle(Event::RequestArrived(request)), 900), "an unknown class");
+    assert!(rejected(&node.handle(Event::RequestArrived(request)), 900), "a request of an unknown class");
     let request = Request {
         id: 901,
         class: IDEMPOTENT,
         expected_work: Some(Duration::from_micros(u64::MAX)),
         ..request
     };
-    assert!(rejected(&node.handle(Event::RequestArrived(request)), 901), "no time left");
+    assert!(rejected(&node.handle(Event::RequestArrived(request)), 901), "a request with no time left");
     node.handle(Event::ResponseStarted(12_345, 3));
     node.handle(Event::ClientDisconnected(12_345));
     node.handle(Event::TimerFired(TimerToken::Request(12_345)));
@@ -107,5 +107,5 @@
         Event::RequestArrived(Request { id: 1, class: IDEMPOTENT, remaining: S, ..request }),
         &mut actions,
     );
-    assert!(rejected(&actions, 1), "a request before any list");
+    assert!(rejected(&actions, 1), "a request before the first endpoint list");
 }
--- a/tests/balancer/maintenance.rs
+++ b/tests/balancer/maintenance.rs
@@ -71,8 +71,8 @@
         node.end_attempt(id, 0, Outcome::Served, MS);
     };
     // Non-idempotent requests that fail are not queued again, and so not sent to the endpoint later.
-    failures_met(&mut node, NON_IDEMPOTENT, &[failing], Outcome::Reset, 100);
-    assert_eq!(failures_met(&mut node, NON_IDEMPOTENT, &[failing], Outcome::Reset, 40), 0, "it is ejected");
+    count_failures(&mut node, NON_IDEMPOTENT, &[failing], Outcome::Reset, 100);
+    assert_eq!(count_failures(&mut node, NON_IDEMPOTENT, &[failing], Outcome::Reset, 40), 0, "it is ejected");
     node.handle(Event::EnterMaintenance(failing));
     node.now += MS;
     node.handle(Event::ExitMaintenance(failing, node.now));
--- a/tests/balancer/retries.rs
+++ b/tests/balancer/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: whether, where and until when.
+//! Retries: whether, where and until when a request is retried.
 
 use mothspool::*;
 
@@ -25,15 +25,16 @@
     let (id, _) = node.arrive(KEYED_BY_CELL, Some(0));
     node.now += 500 * MS;
     let actions = node.end_attempt(id, 0, Outcome::Error, 500 * MS);
-    assert!(failed(&actions, id), "its endpoints have forgotten it");
+    assert!(failed(&actions, id), "its idempotency window has ended");
 }
 
-/// A list may name no cells: each endpoint then knows its own keys alone, until it restarts.
+/// The endpoint list may have no cells. Each endpoint then knows only its own keys, and loses them when it
+/// restarts.
 #[test]
-fn a_keyed_request_is_retried_only_at_its_endpoint_where_no_cells_are_listed() {
+fn a_keyed_request_without_cells_is_retried_only_at_the_same_endpoint() {
     for restarts in [false, true] {
-        let alone = |s: EndpointInfo| EndpointInfo { cell: None, ..s };
-        let list: Vec<EndpointInfo> = endpoints(1..41).into_iter().map(alone).collect();
+        let without_cell = |s: EndpointInfo| EndpointInfo { cell: None, ..s };
+        let list: Vec<EndpointInfo> = endpoints(1..41).into_iter().map(without_cell).collect();
         let mut node = TestNode::new(settings(), list);
         let (id, first) = node.arrive(KEYED_BY_CELL, Some(0));
         let first = sends(&first, id)[0];
@@ -41,7 +42,7 @@
             let now = node.now;
             node.handle(Event::EndpointDelta(vec![EndpointInfo {
                 started_at: now,
-                ..alone(endpoint(first))
+                ..without_cell(endpoint(first))
             }]));
         }
         let retry = node.end_attempt(id, 0, Outcome::Error, MS);
@@ -50,30 +51,33 @@
     }
 }
 
-/// Connections may come up late: a retry says until when it may begin. Windows are 400 ms here, from the
-/// first attempt on; 20 ms of them are the time to arrive.
+/// Connections may take long to open, so the action that sends a retry has a deadline for its start. It is
+/// 380 ms after the first attempt: the idempotency window of 400 ms less 20 ms for the retry to arrive.
 #[test]
-fn only_the_retry_of_a_keyed_request_that_may_have_been_executed_has_a_deadline() {
-    let by = |actions: &[Action]| {
-        actions.iter().find_map(|a| if let Action::Send { begin_by: by, .. } = a { Some(*by) } else { None })
+fn only_retries_of_keyed_requests_that_may_have_been_executed_have_a_deadline() {
+    let begin_by = |actions: &[Action]| {
+        actions
+            .iter()
+            .find_map(|a| if let Action::Send { begin_by, .. } = a { Some(*begin_by) } else { None })
     };
-    for (class, tied) in [(IDEMPOTENT, false), (KEYED_BY_CELL, true), (KEYED_BY_ALL, true)] {
+    for (class, has_deadline) in [(IDEMPOTENT, false), (KEYED_BY_CELL, true), (KEYED_BY_ALL, true)] {
         let mut node = TestNode::new(settings(), endpoints(1..41));
         let (id, first) = node.arrive(class, Some(0));
-        assert_eq!(by(&first), Some(None));
+        assert_eq!(begin_by(&first), Some(None));
         node.now += 20 * MS;
-        // What was not executed anywhere may begin at any time, and the window counts from then.
-        assert_eq!(by(&node.end_attempt(id, 0, Outcome::ConnectFailed, 20 * MS)), Some(None));
+        // A request that was not executed has no deadline, and its window counts from the next attempt.
+        assert_eq!(begin_by(&node.end_attempt(id, 0, Outcome::ConnectFailed, 20 * MS)), Some(None));
         let sent = node.now;
         node.now += 30 * MS;
-        let until = tied.then_some(sent + 380 * MS);
-        assert_eq!(by(&node.end_attempt(id, 1, Outcome::Reset, 30 * MS)), Some(until));
+        let until = has_deadline.then_some(sent + 380 * MS);
+        assert_eq!(begin_by(&node.end_attempt(id, 1, Outcome::Reset, 30 * MS)), Some(until));
         node.now += 30 * MS;
-        assert_eq!(by(&node.end_attempt(id, 2, Outcome::Rejected, 30 * MS)), Some(until));
+        assert_eq!(begin_by(&node.end_attempt(id, 2, Outcome::Rejected, 30 * MS)), Some(until));
     }
 }
 
-/// It can't be sent any more, and its client gets the answer at once: not when its time is up.
+/// After the idempotency window the request can't be sent any more, and the client gets its answer at once
+/// instead of at the deadline.
 #[test]
 fn a_queued_retry_fails_when_its_idempotency_window_ends() {
     let mut s = settings();
@@ -84,13 +88,13 @@
     let (other, queued) = node.arrive(IDEMPOTENT, None);
     assert_eq!(sends(&queued, other), []);
     node.now += 20 * MS;
-    // The one of the higher weight is sent.
+    // The request with the higher priority weight is sent.
     let actions = node.end_attempt(id, 0, Outcome::Reset, 20 * MS);
     assert_eq!((sends(&actions, other), sends(&actions, id)), (vec![1], vec![]));
     let mut after = 20 * MS;
     while !failed(&node.fire_timer(id, 5 * MS), id) {
         after += 5 * MS;
-        assert!(after < 385 * MS, "queued though its endpoints will have forgotten it");
+        assert!(after < 385 * MS, "queued after the end of its idempotency window");
     }
-    assert!(after >= 370 * MS, "failed while it might have been sent: {after:?}");
+    assert!(after >= 370 * MS, "failed while it could still be sent: {after:?}");
 }
