--- a/src/node/body/budget.rs
+++ b/src/node/body/budget.rs
@@ -11,7 +11,7 @@
 /// The largest body that is buffered, in bytes.
 const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
 /// What was buffered of a larger body is passed on in pieces of this many bytes.
-const PIECE_BYTES: usize = 8 << 10;
+const MAX_PIECE_BYTES: usize = 8 << 10;
 
 /// The memory for the buffered bodies of all requests and responses.
 pub struct BufferBudget {
@@ -21,8 +21,8 @@
 
 impl BufferBudget {
     /// The budget of a process that may use `memory` bytes for everything.
-    pub fn new(memory: usize) -> Rc<BufferBudget> {
-        Rc::new(BufferBudget { available: Cell::new(max_buffered_bytes(memory)) })
+    pub fn new(memory_bytes: usize) -> Rc<BufferBudget> {
+        Rc::new(BufferBudget { available: Cell::new(max_buffered_bytes(memory_bytes)) })
     }
 
     /// Reserves what a body of this size may take; `None` if it is known to be too large to be buffered, or
@@ -106,20 +106,20 @@
 pub struct BufferedPrefix {
     buffered: Option<(Bytes, BufferReservation)>,
     /// The piece that exceeded the reservation.
-    last: Option<Bytes>,
+    overflow: Option<Bytes>,
 }
 
 impl BufferedPrefix {
     /// What was buffered, if anything, and the piece that exceeded the reservation.
-    pub fn new(buffer: Option<BodyBuffer>, last: Bytes) -> BufferedPrefix {
+    pub fn new(buffer: Option<BodyBuffer>, overflow: Bytes) -> BufferedPrefix {
         let buffered = buffer.map(BodyBuffer::freeze).filter(|(bytes, _)| !bytes.is_empty());
-        BufferedPrefix { buffered, last: Some(last) }
+        BufferedPrefix { buffered, overflow: Some(overflow) }
     }
 
     /// How many bytes are still to be passed on.
     pub fn len(&self) -> usize {
         let buffered = self.buffered.as_ref().map_or(0, |(bytes, _)| bytes.len());
-        buffered + self.last.as_ref().map_or(0, Bytes::len)
+        buffered + self.overflow.as_ref().map_or(0, Bytes::len)
     }
 
     /// Whether all of it was passed on.
@@ -130,8 +130,8 @@
     /// The next piece. It is a copy, so that the reservation ends with the last piece and not with its
     /// reader.
     pub fn next_piece(&mut self) -> Option<Bytes> {
-        let Some((bytes, _)) = &mut self.buffered else { return self.last.take() };
-        let piece = Bytes::copy_from_slice(&bytes.split_to(bytes.len().min(PIECE_BYTES)));
+        let Some((bytes, _)) = &mut self.buffered else { return self.overflow.take() };
+        let piece = Bytes::copy_from_slice(&bytes.split_to(bytes.len().min(MAX_PIECE_BYTES)));
         if bytes.is_empty() {
             self.buffered = None;
         }
--- a/src/node/body/pacing.rs
+++ b/src/node/body/pacing.rs
@@ -12,7 +12,7 @@
 
 /// The lowest rate at which a client may send, in bytes a second. Clients have to send at twice this rate;
 /// the rest allows for machines that run unevenly.
-const MIN_UPLOAD_RATE: f64 = 32_000.0;
+const MIN_UPLOAD_BYTES_PER_SECOND: f64 = 32_000.0;
 /// How long a client that is fast enough may pause: it may send what is due for a second at once.
 const MAX_UPLOAD_PAUSE: Duration = Duration::from_millis(1500);
 
@@ -20,7 +20,7 @@
 pub struct PacedBody {
     body: IncomingBody,
     /// By when more has to be received.
-    due: Instant,
+    progress_deadline: Instant,
     timer: Pin<Box<Sleep>>,
     /// Since when nobody has polled for more: that time does not count against the client.
     unpolled_since: Option<Instant>,
@@ -28,8 +28,13 @@
 
 impl PacedBody {
     /// A body of which something has to be received by `due`.
-    pub fn new(body: IncomingBody, due: Instant) -> PacedBody {
-        PacedBody { body, due, timer: Box::pin(sleep_until(due)), unpolled_since: None }
+    pub fn new(body: IncomingBody, progress_deadline: Instant) -> PacedBody {
+        PacedBody {
+            body,
+            progress_deadline,
+            timer: Box::pin(sleep_until(progress_deadline)),
+            unpolled_since: None,
+        }
     }
 
     /// How many bytes were received.
@@ -49,19 +54,19 @@
 
     /// The next piece, or `None` at the end.
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, BodyError>> {
-        self.due += self.unpolled_for();
+        self.progress_deadline += self.unpolled_for();
         self.unpolled_since = None;
         match self.body.poll_data(cx) {
             Poll::Ready(Ok(Some(data))) => {
-                self.extend_due(data.len());
+                self.extend_deadline(data.len());
                 self.pause();
                 Poll::Ready(Ok(Some(data)))
             }
             Poll::Ready(Ok(None)) => Poll::Ready(Ok(None)),
             Poll::Ready(Err(error)) => Poll::Ready(Err(error.into())),
             Poll::Pending => {
-                if self.timer.deadline() != self.due {
-                    self.timer.as_mut().reset(self.due);
+                if self.timer.deadline() != self.progress_deadline {
+                    self.timer.as_mut().reset(self.progress_deadline);
                 }
                 ready!(self.timer.as_mut().poll(cx));
                 Poll::Ready(Err(BodyError::TooSlow))
@@ -75,8 +80,10 @@
     }
 
     /// Moves the deadline on for so many bytes received.
-    fn extend_due(&mut self, bytes: usize) {
-        let earned = Duration::from_secs_f64(bytes as f64 / MIN_UPLOAD_RATE);
-        self.due = self.due.max((self.due + earned).min(Instant::now() + MAX_UPLOAD_PAUSE));
+    fn extend_deadline(&mut self, bytes: usize) {
+        let extension = Duration::from_secs_f64(bytes as f64 / MIN_UPLOAD_BYTES_PER_SECOND);
+        self.progress_deadline = self
+            .progress_deadline
+            .max((self.progress_deadline + extension).min(Instant::now() + MAX_UPLOAD_PAUSE));
     }
 }
--- a/src/node/body/request.rs
+++ b/src/node/body/request.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy)]
 pub enum UploadProgress {
     /// Nothing of it was forwarded.
-    Buffered,
+    NotStarted,
     /// Some of it was forwarded, and is not kept any longer.
     Forwarding,
     /// Its last byte was received at this time.
@@ -86,7 +86,7 @@
     /// The next piece for the endpoint.
     pub fn poll_data(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         match self.progress() {
-            UploadProgress::Buffered => self.advance(UploadProgress::Forwarding),
+            UploadProgress::NotStarted => self.advance(UploadProgress::Forwarding),
             UploadProgress::Forwarding => {}
             UploadProgress::Complete(_) => return Poll::Ready(None),
             UploadProgress::Failed(error) => return Poll::Ready(Some(Err(error))),
@@ -137,7 +137,7 @@
     /// capacity.
     pub async fn read(
         body: Incoming,
-        due: Instant,
+        progress_deadline: Instant,
         budget: &Rc<BufferBudget>,
         observer: &Rc<SocketObserver>,
     ) -> Result<RequestBody, BodyError> {
@@ -147,7 +147,7 @@
             observer.request_completed(size.exact());
             return Ok(RequestBody::buffered(Bytes::new(), None));
         }
-        let mut body = PacedBody::new(body, due);
+        let mut body = PacedBody::new(body, progress_deadline);
         let prefix = match budget.reserve(&size).map(BodyBuffer::new) {
             Some(buffer) => match buffer_body(&mut body, buffer).await? {
                 Buffering::Complete(bytes, reservation) => {
@@ -164,7 +164,7 @@
             prefix: RefCell::new(prefix),
             rest: RefCell::new(body),
             length: size.exact(),
-            progress: watch::Sender::new(UploadProgress::Buffered),
+            progress: watch::Sender::new(UploadProgress::NotStarted),
             listener: RefCell::new(None),
             observer: observer.clone(),
         })))
@@ -194,7 +194,7 @@
     pub fn is_replayable(&self) -> bool {
         match self {
             RequestBody::Buffered { .. } => true,
-            RequestBody::Streamed(stream) => matches!(stream.progress(), UploadProgress::Buffered),
+            RequestBody::Streamed(stream) => matches!(stream.progress(), UploadProgress::NotStarted),
         }
     }
 }
@@ -209,8 +209,8 @@
 
 async fn buffer_body(body: &mut PacedBody, mut buffer: BodyBuffer) -> Result<Buffering, BodyError> {
     while let Some(piece) = body.data().await? {
-        if let Err(last) = buffer.push(piece) {
-            return Ok(Buffering::Exceeded(BufferedPrefix::new(Some(buffer), last)));
+        if let Err(overflow) = buffer.push(piece) {
+            return Ok(Buffering::Exceeded(BufferedPrefix::new(Some(buffer), overflow)));
         }
     }
     let (bytes, reservation) = buffer.freeze();
--- a/src/node/body/response.rs
+++ b/src/node/body/response.rs
@@ -37,8 +37,8 @@
                 Some(buffer) => buffer.push(data),
                 None => Err(data),
             };
-            if let Err(last) = pushed {
-                return Ok(ResponsePrefix::Partial(BufferedPrefix::new(buffer, last), body));
+            if let Err(overflow) = pushed {
+                return Ok(ResponsePrefix::Partial(BufferedPrefix::new(buffer, overflow), body));
             }
         }
         let (bytes, reservation) = buffer.map(BodyBuffer::freeze).unzip();
--- a/src/node/downstream/exchange.rs
+++ b/src/node/downstream/exchange.rs
@@ -34,7 +34,7 @@
         UploadProgress::Forwarding => engine.send(EngineEvent::Balancer(Event::BodyForwarded(id))),
         UploadProgress::Complete(_) => engine.send(EngineEvent::Balancer(Event::BodyCompleted(id))),
         // `exchange` sees a failure by itself, and reports the client as disconnected.
-        UploadProgress::Buffered | UploadProgress::Failed(_) => {}
+        UploadProgress::NotStarted | UploadProgress::Failed(_) => {}
     });
 }
 
--- a/src/node/net/downstream_socket.rs
+++ b/src/node/net/downstream_socket.rs
@@ -24,15 +24,15 @@
 /// How many bytes are read from the client meanwhile.
 const MAX_LINGER_BYTES: usize = 32 << 20;
 /// The size of the buffer that those are read into.
-const LINGER_BUFFER_SIZE: usize = 16 << 10;
+const LINGER_BUFFER_BYTES: usize = 16 << 10;
 /// How many bytes of responses the kernel may buffer; it doubles this for its own book-keeping.
-const SEND_BUFFER_SIZE: usize = 128 << 10;
+const SEND_BUFFER_BYTES: usize = 128 << 10;
 
 /// What was seen on a client's socket, shared with those who respond on it.
 pub struct SocketObserver {
     stream: OwnedWriteHalf,
     framer: RefCell<MessageFramer>,
-    lingers: Cell<bool>,
+    should_linger: Cell<bool>,
     write_blocked_since: Cell<Option<Instant>>,
 }
 
@@ -87,7 +87,7 @@
 
     /// Has the socket read on for a while after the last response, as the client may still be sending.
     pub fn linger(&self) {
-        self.lingers.set(true);
+        self.should_linger.set(true);
     }
 
     /// Writes what the kernel takes, once it takes some.
@@ -96,10 +96,10 @@
         cx: &mut Context<'_>,
         write: impl Fn(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
-        let polled = self.poll_write_unobserved(cx, write);
+        let result = self.poll_write_unobserved(cx, write);
         let blocked_since = self.write_blocked_since.get().unwrap_or_else(Instant::now);
-        self.write_blocked_since.set(polled.is_pending().then_some(blocked_since));
-        polled
+        self.write_blocked_since.set(result.is_pending().then_some(blocked_since));
+        result
     }
 
     fn poll_write_unobserved(
@@ -144,7 +144,7 @@
             if self.remaining_bytes == 0 {
                 return Poll::Pending;
             }
-            let mut space = [0; LINGER_BUFFER_SIZE];
+            let mut space = [0; LINGER_BUFFER_BYTES];
             let mut buf = ReadBuf::new(&mut space);
             let read = ready!(Pin::new(&mut *reader).poll_read(cx, &mut buf));
             let bytes = buf.filled().len();
@@ -170,12 +170,12 @@
     pub fn new(stream: TcpStream) -> (DownstreamSocket, Rc<SocketObserver>) {
         // That a slow client reads shows only as the kernel's buffer empties, and that would grow to
         // megabytes.
-        let _ = SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_SIZE);
+        let _ = SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES);
         let (reader, stream) = stream.into_split();
         let observer = Rc::new(SocketObserver {
             stream,
             framer: RefCell::new(MessageFramer::new()),
-            lingers: Cell::new(false),
+            should_linger: Cell::new(false),
             write_blocked_since: Cell::new(None),
         });
         (DownstreamSocket { reader, observer: observer.clone(), lingering: None }, observer)
@@ -189,9 +189,9 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let filled_before = buf.filled().len();
-        let polled = Pin::new(&mut self.reader).poll_read(cx, buf);
+        let result = Pin::new(&mut self.reader).poll_read(cx, buf);
         self.observer.framer.borrow_mut().push(&buf.filled()[filled_before..]);
-        polled
+        result
     }
 }
 
@@ -221,7 +221,7 @@
         let DownstreamSocket { reader, observer, lingering } = self.get_mut();
         if lingering.is_none() {
             observer.shut_down_write()?;
-            if !observer.lingers.get() {
+            if !observer.should_linger.get() {
                 return Poll::Ready(Ok(()));
             }
         }
--- a/src/node/net/framing.rs
+++ b/src/node/net/framing.rs
@@ -13,7 +13,7 @@
     /// How many bytes the current line of the head has so far, line ends aside.
     line_length: usize,
     /// Whether they match [`CONTENT_LENGTH`].
-    line_matches: bool,
+    matches_content_length: bool,
     /// When the first line began. Empty lines before it are skipped.
     started_at: Option<Instant>,
     /// How many lines state a length.
@@ -31,7 +31,7 @@
         MessageFramer {
             in_head: true,
             line_length: 0,
-            line_matches: true,
+            matches_content_length: true,
             started_at: None,
             content_length_lines: 0,
             body_bytes: 0,
@@ -58,15 +58,15 @@
     fn end_line(&mut self) {
         self.in_head = self.line_length > 0 || self.started_at.is_none();
         self.line_length = 0;
-        self.line_matches = true;
+        self.matches_content_length = true;
     }
 
     fn push_to_line(&mut self, byte: u8) {
         self.started_at.get_or_insert_with(Instant::now);
         let expected = CONTENT_LENGTH.get(self.line_length);
-        self.line_matches &= expected.is_none_or(|expected| expected.eq_ignore_ascii_case(&byte));
+        self.matches_content_length &= expected.is_none_or(|expected| expected.eq_ignore_ascii_case(&byte));
         self.line_length += 1;
-        if self.line_matches && self.line_length == CONTENT_LENGTH.len() {
+        if self.matches_content_length && self.line_length == CONTENT_LENGTH.len() {
             self.content_length_lines += 1;
         }
     }
--- a/src/node/net/inherited_listener.rs
+++ b/src/node/net/inherited_listener.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 /// The environment variable that holds the descriptor's number.
-const VARIABLE: &str = "GW_PASSED_SOCKET";
+const ENV_VARIABLE: &str = "GW_PASSED_SOCKET";
 
 /// The highest descriptor of the standard streams, none of which is passed on as a socket.
 const LAST_STANDARD_STREAM: RawFd = 2;
@@ -18,13 +18,13 @@
 #[derive(Debug, Error)]
 pub enum InheritedListenerError {
     /// The variable's value is not the number of a descriptor behind the standard streams.
-    #[error("{VARIABLE}: {value:?} is not the number of a descriptor above {LAST_STANDARD_STREAM}")]
+    #[error("{ENV_VARIABLE}: {value:?} is not the number of a descriptor above {LAST_STANDARD_STREAM}")]
     InvalidNumber {
         /// The variable's value.
         value: OsString,
     },
     /// The descriptor is not open, or not a socket.
-    #[error("{VARIABLE}: descriptor {descriptor} is not a usable socket")]
+    #[error("{ENV_VARIABLE}: descriptor {descriptor} is not a usable socket")]
     Unusable {
         /// The descriptor's number.
         descriptor: RawFd,
@@ -32,13 +32,13 @@
         source: io::Error,
     },
     /// The socket does not listen.
-    #[error("{VARIABLE}: descriptor {descriptor} does not listen")]
+    #[error("{ENV_VARIABLE}: descriptor {descriptor} does not listen")]
     NotListening {
         /// The descriptor's number.
         descriptor: RawFd,
     },
     /// The socket listens, but not for TCP connections.
-    #[error("{VARIABLE}: descriptor {descriptor} does not listen for TCP")]
+    #[error("{ENV_VARIABLE}: descriptor {descriptor} does not listen for TCP")]
     NotTcp {
         /// The descriptor's number.
         descriptor: RawFd,
@@ -51,7 +51,7 @@
 ///
 /// If `GW_PASSED_SOCKET` is set and does not name a TCP listener.
 pub fn from_environment() -> Result<Option<TcpListener>, InheritedListenerError> {
-    let Some(value) = std::env::var_os(VARIABLE) else { return Ok(None) };
+    let Some(value) = std::env::var_os(ENV_VARIABLE) else { return Ok(None) };
     let descriptor = value.to_str().and_then(|text| text.parse().ok());
     match descriptor.filter(|number| *number > LAST_STANDARD_STREAM) {
         Some(descriptor) => adopt(descriptor).map(Some),
--- a/src/node/net/upstream_socket.rs
+++ b/src/node/net/upstream_socket.rs
@@ -18,10 +18,10 @@
 pub struct UpstreamSocket {
     stream: RefCell<TcpStream>,
     /// How many bytes have been written.
-    written: Cell<u64>,
+    bytes_written: Cell<u64>,
     /// Whether bytes have been read since this was last cleared.
-    received: Cell<bool>,
-    received_changed: Notify,
+    has_received_data: Cell<bool>,
+    data_notify: Notify,
     _permit: ConnectionPermit,
 }
 
@@ -30,29 +30,29 @@
     pub fn new(stream: TcpStream, permit: ConnectionPermit) -> UpstreamSocket {
         UpstreamSocket {
             stream: RefCell::new(stream),
-            written: Cell::new(0),
-            received: Cell::new(false),
-            received_changed: Notify::new(),
+            bytes_written: Cell::new(0),
+            has_received_data: Cell::new(false),
+            data_notify: Notify::new(),
             _permit: permit,
         }
     }
 
     /// How many bytes have been written to it.
-    pub fn written(&self) -> u64 {
-        self.written.get()
+    pub fn bytes_written(&self) -> u64 {
+        self.bytes_written.get()
     }
 
     /// Waits until bytes have been read from it since the last call.
     pub async fn data_received(&self) {
-        while !self.received.get() {
-            self.received_changed.notified().await;
+        while !self.has_received_data.get() {
+            self.data_notify.notified().await;
         }
-        self.received.set(false);
+        self.has_received_data.set(false);
     }
 
     /// Forgets that bytes have been read: they belonged to an earlier response.
     pub fn clear_received(&self) {
-        self.received.set(false);
+        self.has_received_data.set(false);
     }
 
     /// Whether the connection is open and the kernel has received nothing that is still to be read.
@@ -60,11 +60,11 @@
         ReceiveQueue::of(&self.stream.borrow()) == ReceiveQueue::Empty
     }
 
-    fn count_written(&self, polled: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        if let Poll::Ready(Ok(bytes)) = &polled {
-            self.written.set(self.written.get() + *bytes as u64);
+    fn count_written(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        if let Poll::Ready(Ok(bytes)) = &result {
+            self.bytes_written.set(self.bytes_written.get() + *bytes as u64);
         }
-        polled
+        result
     }
 }
 
@@ -74,19 +74,19 @@
 impl AsyncRead for UpstreamIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let filled_before = buf.filled().len();
-        let polled = Pin::new(&mut *self.0.stream.borrow_mut()).poll_read(cx, buf);
+        let result = Pin::new(&mut *self.0.stream.borrow_mut()).poll_read(cx, buf);
         if buf.filled().len() > filled_before {
-            self.0.received.set(true);
-            self.0.received_changed.notify_one();
+            self.0.has_received_data.set(true);
+            self.0.data_notify.notify_one();
         }
-        polled
+        result
     }
 }
 
 impl AsyncWrite for UpstreamIo {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let polled = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write(cx, buf);
-        self.0.count_written(polled)
+        let result = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write(cx, buf);
+        self.0.count_written(result)
     }
 
     fn poll_write_vectored(
@@ -94,8 +94,8 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let polled = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write_vectored(cx, bufs);
-        self.0.count_written(polled)
+        let result = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write_vectored(cx, bufs);
+        self.0.count_written(result)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -129,14 +129,14 @@
         http_request: Request<OutboundBody>,
     ) -> Result<AttemptOutcome, ExchangeError> {
         let head_length = head_length(&http_request);
-        let written_before = lease.connection.socket().written();
+        let written_before = lease.connection.socket().bytes_written();
         let unresponsive_guard =
             UnresponsiveGuard { pool: self.pool, endpoint: self.endpoint, sent_at: Instant::now() };
         let sent = lease.connection.send(http_request).await;
         let response = match sent {
             Ok(response) => response,
             Err(error) => {
-                let written = lease.connection.socket().written() - written_before;
+                let written = lease.connection.socket().bytes_written() - written_before;
                 return Err(self.classify_send_error(&lease, &error, head_length, written));
             }
         };
--- a/src/node/upstream/request.rs
+++ b/src/node/upstream/request.rs
@@ -46,7 +46,7 @@
             RequestBody::Buffered { .. } => Some(self.buffered_at),
             RequestBody::Streamed(stream) => match stream.progress() {
                 UploadProgress::Complete(at) => Some(at),
-                UploadProgress::Buffered | UploadProgress::Forwarding | UploadProgress::Failed(_) => None,
+                UploadProgress::NotStarted | UploadProgress::Forwarding | UploadProgress::Failed(_) => None,
             },
         }
     }
--- a/tests/node/large_bodies.rs
+++ b/tests/node/large_bodies.rs
@@ -8,29 +8,29 @@
 use crate::support::*;
 
 /// A body in chunks of many sizes, with extensions and a trailer.
-fn chunked(body: &[u8]) -> Vec<u8> {
-    let (mut coded, mut at, mut size) = (Vec::new(), 0, 1);
-    while at < body.len() {
-        let piece = &body[at..body.len().min(at + size)];
-        coded.extend_from_slice(format!("{:X};ext=\"a;b\";more\r\n", piece.len()).as_bytes());
-        coded.extend_from_slice(piece);
-        coded.extend_from_slice(b"\r\n");
-        at += piece.len();
+fn encode_chunked(body: &[u8]) -> Vec<u8> {
+    let (mut encoded, mut offset, mut size) = (Vec::new(), 0, 1);
+    while offset < body.len() {
+        let piece = &body[offset..body.len().min(offset + size)];
+        encoded.extend_from_slice(format!("{:X};ext=\"a;b\";more\r\n", piece.len()).as_bytes());
+        encoded.extend_from_slice(piece);
+        encoded.extend_from_slice(b"\r\n");
+        offset += piece.len();
         size = (size * 3) % 70_001;
     }
-    coded.extend_from_slice(b"0\r\nX-Sum: 1\r\n\r\n");
-    coded
+    encoded.extend_from_slice(b"0\r\nX-Sum: 1\r\n\r\n");
+    encoded
 }
 
 #[test]
 fn large_bodies_are_forwarded_unchanged_in_every_framing() {
     let body = random_bytes(5_000_000);
-    let echo = |coded: fn(&[u8]) -> Reply| UpstreamServer::new(move |_, request| coded(&request.body));
+    let echo = |encode: fn(&[u8]) -> Reply| UpstreamServer::new(move |_, request| encode(&request.body));
     let upstreams = [
         echo(|body| Reply::Send(ok_with_body("", body))),
         echo(|body| {
             let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-            Reply::Send([&head[..], &chunked(body)].concat())
+            Reply::Send([&head[..], &encode_chunked(body)].concat())
         }),
         echo(|body| Reply::SendAndClose([b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", body].concat())),
     ];
@@ -42,21 +42,22 @@
         assert_eq!((response.status(), response.body == body), (200, true));
         // The client's connection is reused, and the upstream connection where its framing allows.
         assert_eq!(client.exchange(&order_request()).body, b"yen");
-        let coded =
-            [request_head("POST", "/order/1", "Transfer-Encoding: chunked\r\n"), chunked(&body)].concat();
-        let response = client.exchange(&coded);
+        let encoded =
+            [request_head("POST", "/order/1", "Transfer-Encoding: chunked\r\n"), encode_chunked(&body)]
+                .concat();
+        let response = client.exchange(&encoded);
         assert_eq!((response.status(), response.body == body), (200, true));
         assert_eq!(upstream.request_count(), 3);
     }
 }
 
 /// How many bytes a connection takes before writes block.
-fn sent_until_blocked(client: &mut Connection, limit: usize) -> usize {
+fn write_until_blocked(client: &mut Connection, limit: usize) -> usize {
     client.stream.set_write_timeout(Some(Duration::from_millis(500))).unwrap();
     let mut sent = 0;
     while sent < limit {
         match client.stream.write(&[b'x'; 65536]) {
-            Ok(some) => sent += some,
+            Ok(written) => sent += written,
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => break,
             Err(error) => panic!("{error} after {sent}"),
         }
@@ -66,15 +67,15 @@
 
 #[test]
 fn backpressure_applies_in_both_directions() {
-    const LENGTH: usize = 32 << 20;
+    const BODY_BYTES: usize = 32 << 20;
     // An endpoint that accepts a connection and reads nothing.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let node = Node::start(&[endpoint_entry("a", listener.local_addr().unwrap(), 1, "ready")]);
     let mut client = node.client();
-    client.send(&request_head("POST", "/order/1", &format!("Content-Length: {LENGTH}\r\n")));
+    client.send(&request_head("POST", "/order/1", &format!("Content-Length: {BODY_BYTES}\r\n")));
     let stream = accept_connection(&listener);
-    let sent = sent_until_blocked(&mut client, LENGTH);
-    assert!(sent < LENGTH / 2, "{sent} bytes were accepted for an endpoint that reads none");
+    let sent = write_until_blocked(&mut client, BODY_BYTES);
+    assert!(sent < BODY_BYTES / 2, "{sent} bytes were accepted for an endpoint that reads none");
     drop(stream);
     // A client that reads nothing of its response.
     let upstream = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -83,17 +84,17 @@
     client.send(&order_request());
     let mut stream = Connection::from_stream(accept_connection(&upstream));
     stream.stream.read_exact(&mut [0; 100]).unwrap();
-    stream.send(format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n").as_bytes());
-    let sent = sent_until_blocked(&mut stream, LENGTH);
-    assert!(sent < LENGTH / 2, "{sent} bytes were accepted for a client that reads none");
+    stream.send(format!("HTTP/1.1 200 OK\r\nContent-Length: {BODY_BYTES}\r\n\r\n").as_bytes());
+    let sent = write_until_blocked(&mut stream, BODY_BYTES);
+    assert!(sent < BODY_BYTES / 2, "{sent} bytes were accepted for a client that reads none");
 }
 
 #[test]
-fn a_streamed_body_is_not_retried_once_it_has_begun() {
+fn does_not_retry_a_request_once_part_of_its_streamed_body_was_sent() {
     let large = random_bytes(300_000);
     for (body, status) in [(&large[..1000], 200), (&large[..], 502)] {
-        let turns = AtomicUsize::new(0);
-        let upstream = UpstreamServer::new(move |_, _| match turns.fetch_add(1, Ordering::SeqCst) {
+        let attempts = AtomicUsize::new(0);
+        let upstream = UpstreamServer::new(move |_, _| match attempts.fetch_add(1, Ordering::SeqCst) {
             0 => Reply::SendAndClose(Vec::new()),
             _ => ok("noted"),
         });
@@ -109,7 +110,7 @@
 
 /// Without cancellation the end of an attempt counts for the endpoint's health, but the client caused this one.
 #[test]
-fn an_aborted_upload_is_not_the_endpoints_failure() {
+fn an_aborted_upload_does_not_count_as_an_endpoint_failure() {
     let listeners = [0, 1].map(|_| TcpListener::bind("127.0.0.1:0").unwrap());
     let endpoints =
         [0, 1].map(|n| endpoint_entry(&n.to_string(), listeners[n].local_addr().unwrap(), 1, "ready"));
@@ -118,28 +119,28 @@
     });
     listeners.iter().for_each(|listener| listener.set_nonblocking(true).unwrap());
     let body = random_bytes(300_000);
-    let (mut later_uploads, mut aborted_at) = (0, None);
+    let (mut later_uploads, mut aborted_endpoint) = (0, None);
     // Both endpoints respond alike, but for one upload that its client aborts: that endpoint has to stay in use.
     for n in 0..200 {
         let mut client = node.client();
         client.send(&request_head("POST", "/order/1", "Content-Length: 300000\r\n"));
         client.send(&body[..100_000]);
         let started = Instant::now();
-        let (at, stream) = loop {
-            let accepted = |n: usize| Some((n, listeners[n].accept().ok()?.0));
-            if let Some(found) = accepted(0).or_else(|| accepted(1)) {
+        let (endpoint, stream) = loop {
+            let accept = |n: usize| Some((n, listeners[n].accept().ok()?.0));
+            if let Some(found) = accept(0).or_else(|| accept(1)) {
                 break found;
             }
             assert!(started.elapsed() < EVENT_TIMEOUT, "no connection arrives");
         };
         stream.set_nonblocking(false).unwrap();
         let mut connection = Connection::from_stream(stream);
-        later_uploads += usize::from(aborted_at == Some(at));
-        if n > 40 && aborted_at.is_none() {
+        later_uploads += usize::from(aborted_endpoint == Some(endpoint));
+        if n > 40 && aborted_endpoint.is_none() {
             connection.stream.peek(&mut [0]).unwrap();
             drop(client);
             assert!(connection.reaches_close());
-            aborted_at = Some(at);
+            aborted_endpoint = Some(endpoint);
         } else {
             client.send(&body[100_000..]);
             assert_eq!(connection.receive().body.len(), body.len());
@@ -151,7 +152,7 @@
 }
 
 #[test]
-fn a_large_body_that_was_not_begun_is_retried_elsewhere() {
+fn retries_a_large_request_elsewhere_if_none_of_its_body_was_sent() {
     let upstream = UpstreamServer::new(|_, _| ok("noted"));
     let node =
         Node::start(&[endpoint_entry("a", refusing_address(), 1, "ready"), ready_endpoint("b", &upstream)]);
@@ -166,11 +167,11 @@
 }
 
 #[test]
-fn a_truncated_response_is_visible_to_the_client() {
+fn clients_can_tell_that_a_response_is_truncated() {
     let body = random_bytes(400_000);
     let sized = [b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n", &body[..]].concat();
-    let coded = [&b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nF4240\r\n"[..], &body].concat();
-    for bytes in [sized, coded] {
+    let encoded = [&b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nF4240\r\n"[..], &body].concat();
+    for bytes in [sized, encoded] {
         let upstream = UpstreamServer::new(move |_, _| Reply::SendAndClose(bytes.clone()));
         let node = Node::start(&[ready_endpoint("a", &upstream)]);
         let mut client = node.client();
--- a/tests/node/memory_limits.rs
+++ b/tests/node/memory_limits.rs
@@ -11,15 +11,15 @@
 
 #[test]
 fn memory_is_bounded_while_large_bodies_stream() {
-    const LENGTH: usize = 12_000_000;
+    const BODY_BYTES: usize = 12_000_000;
     let upstream = UpstreamServer::new(|_, request| Reply::Send(ok_with_body("", &request.body)));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
-    let body = Arc::new(random_bytes(LENGTH));
+    let body = Arc::new(random_bytes(BODY_BYTES));
     let clients: Vec<_> = (0..24)
         .map(|_| {
             let (mut client, body) = (node.client(), body.clone());
             thread::spawn(move || {
-                let length = format!("Content-Length: {LENGTH}\r\n");
+                let length = format!("Content-Length: {BODY_BYTES}\r\n");
                 client.stream.write_all(&request_head("POST", "/order/1", &length)).unwrap();
                 client.stream.write_all(&body).unwrap();
                 // All responses wait for their readers at the same time.
@@ -31,25 +31,25 @@
             })
         })
         .collect();
-    let served = clients.into_iter().map(|client| client.join().unwrap()).filter(|ok| *ok).count();
-    assert!(served > 4, "{served}");
+    let successes = clients.into_iter().map(|client| client.join().unwrap()).filter(|ok| *ok).count();
+    assert!(successes > 4, "{successes}");
     let memory = node.peak_memory();
-    assert!(memory < 32 << 20, "{memory} bytes, one body has {LENGTH}");
+    assert!(memory < 32 << 20, "{memory} bytes, one body has {BODY_BYTES}");
 }
 
 /// Little memory for the number of descriptors, and every buffer is full: endpoints read nothing, and each client sends
 /// as much as it can.
 #[test]
 fn many_uploads_stay_within_the_memory_limit() {
-    const MEMORY: usize = 32;
+    const MEMORY_MIB: usize = 32;
     let listeners: Vec<TcpListener> = (0..8).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
     let endpoints: Vec<_> = (0..)
         .zip(&listeners)
         .map(|(n, listener)| endpoint_entry(&format!("s{n}"), listener.local_addr().unwrap(), 1, "ready"))
         .collect();
-    let node = Node::with_config(&endpoints, |config| config["limits"]["memory_mb"] = MEMORY.into());
+    let node = Node::with_config(&endpoints, |config| config["limits"]["memory_mb"] = MEMORY_MIB.into());
     let body = random_bytes(400_000);
-    let crowd: Vec<Connection> = (0..600)
+    let clients: Vec<Connection> = (0..600)
         .map(|n| {
             let mut client = node.client();
             client.stream.set_write_timeout(Some(Duration::from_millis(20))).unwrap();
@@ -66,7 +66,7 @@
         .collect();
     assert_eq!(node.health(), 200);
     let memory = settled_peak_memory(&node);
-    assert!(memory < MEMORY << 20, "{memory} bytes for {} uploads", crowd.len());
+    assert!(memory < MEMORY_MIB << 20, "{memory} bytes for {} uploads", clients.len());
 }
 
 /// The peak memory once it no longer grows.
@@ -84,16 +84,16 @@
 fn a_connection_is_reused_after_a_response_that_could_not_be_buffered() {
     // The requests buffer an eighth of this; it carries connections for all requests sent here, so that none is
     // closed in favour of another.
-    const MEMORY: usize = 16;
-    const ENDPOINTS: usize = MEMORY * 2;
-    let script = |_, request: &Message| match request.start_line.starts_with("POST") {
+    const MEMORY_MIB: usize = 16;
+    const ENDPOINTS: usize = MEMORY_MIB * 2;
+    let respond = |_, request: &Message| match request.start_line.starts_with("POST") {
         true => Reply::Never,
         false => ok("slip"),
     };
-    let upstream = UpstreamServer::new(script);
+    let upstream = UpstreamServer::new(respond);
     let endpoints: Vec<_> = (0..ENDPOINTS).map(|n| ready_endpoint(&format!("s{n}"), &upstream)).collect();
-    let node = Node::with_config(&endpoints, |config| config["limits"]["memory_mb"] = MEMORY.into());
-    let _buffered: Vec<Connection> = (0..MEMORY * 2)
+    let node = Node::with_config(&endpoints, |config| config["limits"]["memory_mb"] = MEMORY_MIB.into());
+    let _buffered: Vec<Connection> = (0..MEMORY_MIB * 2)
         .map(|_| {
             let mut client = node.client();
             client.send(&request("POST", "/order/1", "14.0", "", &"y".repeat(64 << 10)));
@@ -102,15 +102,15 @@
         })
         .collect();
     let mut client = node.client();
-    let mut views = || -> HashSet<usize> {
-        let view = |_| {
+    let mut send_views = || -> HashSet<usize> {
+        let send_view = |_| {
             assert_eq!(client.exchange(&view_request()).body, b"slip");
             upstream.next_request().0
         };
-        (0..2 * ENDPOINTS).map(view).collect()
+        (0..2 * ENDPOINTS).map(send_view).collect()
     };
-    let before = views();
+    let connections_before = send_views();
     // Connections are not reused right after a response.
     pause_before_reuse();
-    assert!(!views().is_disjoint(&before), "each request had a new connection");
+    assert!(!send_views().is_disjoint(&connections_before), "each request had a new connection");
 }
--- a/tests/unit/connection_permits.rs
+++ b/tests/unit/connection_permits.rs
@@ -7,7 +7,7 @@
 use super::*;
 
 #[test]
-fn no_more_permits_are_given_than_the_limit_says_at_the_time() {
+fn grants_no_permit_beyond_the_current_limit() {
     let permits = Rc::new(ConnectionPermits::new(2));
     let first = permits.try_acquire().unwrap();
     let second = permits.try_acquire().unwrap();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn each_released_permit_wakes_one_waiter_and_may_be_taken_by_another() {
+fn a_released_permit_wakes_one_waiter_but_is_not_reserved_for_it() {
     let permits = Rc::new(ConnectionPermits::new(1));
     let permit = permits.try_acquire().unwrap();
     let mut cx = Context::from_waker(Waker::noop());
@@ -36,8 +36,8 @@
     assert!(first.as_mut().poll(&mut cx).is_pending());
     assert!(second.as_mut().poll(&mut cx).is_pending());
     drop(permit);
-    let taken_before_the_waiter_runs = permits.try_acquire();
-    assert!(taken_before_the_waiter_runs.is_some());
+    let acquired_before_the_waiter_runs = permits.try_acquire();
+    assert!(acquired_before_the_waiter_runs.is_some());
     assert!(first.as_mut().poll(&mut cx).is_ready());
     assert!(second.as_mut().poll(&mut cx).is_pending());
     assert!(permits.try_acquire().is_none());
--- a/tests/unit/message_framer.rs
+++ b/tests/unit/message_framer.rs
@@ -5,7 +5,7 @@
 const HEAD: &[u8] = b"\r\n\r\nPOST /x HTTP/1.1\r\nHost: n\r\nCoNtEnT-LeNgTh: 5\r\n\r\n";
 
 #[test]
-fn a_head_that_comes_byte_by_byte_is_followed_to_its_end() {
+fn finds_the_end_of_a_head_that_arrives_byte_by_byte() {
     let mut framer = MessageFramer::new();
     for (read, byte) in HEAD.iter().enumerate() {
         // The two empty lines before the head do not count.
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn only_a_line_that_begins_with_the_header_states_a_length() {
+fn recognizes_only_the_exact_content_length_header() {
     let mut framer = MessageFramer::new();
     framer.push(
         b"POST /x HTTP/1.1\r\nX-Content-Length: 5\r\nContent-Lengths: 5\r\nExpect: content-length:\r\n\r\n",
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn requests_stay_apart_as_long_as_each_ends_where_its_length_says() {
+fn separates_requests_that_end_at_their_stated_length() {
     let mut framer = MessageFramer::new();
     framer.push(HEAD);
     framer.push(b"hel");
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn after_a_body_of_unknown_or_other_length_any_request_may_state_one() {
+fn assumes_a_content_length_after_a_body_of_unknown_or_wrong_length() {
     for body_length in [None, Some(4), Some(6)] {
         let mut framer = MessageFramer::new();
         framer.push(HEAD);
