--- a/src/node/body/budget.rs
+++ b/src/node/body/budget.rs
@@ -1,4 +1,5 @@
-//! The memory for buffered bodies: a budget, reservations of it, and buffers that keep to their reservation.
+//! Memory for buffered bodies: the budget of the process, reservations from it, and buffers that stay within
+//! their reservation.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,25 +9,26 @@
 
 use crate::config::max_buffered_bytes;
 
-/// The largest body that is buffered, in bytes.
+/// Maximum length of a body that is buffered, in bytes.
 const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
-/// What was buffered of a larger body is passed on in pieces of this many bytes.
+/// Maximum size of the pieces in which the buffered part of a larger body is passed on, in bytes.
 const MAX_PIECE_BYTES: usize = 8 << 10;
 
-/// The memory for the buffered bodies of all requests and responses.
+/// Memory budget for the buffered bodies of all requests and responses.
 pub struct BufferBudget {
-    /// How many bytes are not reserved.
+    /// Number of bytes that are not reserved.
     available: Cell<usize>,
 }
 
 impl BufferBudget {
-    /// The budget of a process that may use `memory` bytes for everything.
+    /// Creates the budget of a process that may use `memory_bytes` bytes in total.
     pub fn new(memory_bytes: usize) -> Rc<BufferBudget> {
         Rc::new(BufferBudget { available: Cell::new(max_buffered_bytes(memory_bytes)) })
     }
 
-    /// Reserves what a body of this size may take; `None` if it is known to be too large to be buffered, or
-    /// too little is available.
+    /// Reserves the memory for a body of this size: its exact length if that is known, otherwise
+    /// [`MAX_BUFFERED_BODY_BYTES`]. Returns `None` if the body is known to be too large to be buffered, or if
+    /// too little memory is available.
     pub fn reserve(self: &Rc<BufferBudget>, size: &SizeHint) -> Option<BufferReservation> {
         let bytes = match size.exact() {
             Some(length) => usize::try_from(length).ok()?,
@@ -44,14 +46,14 @@
     }
 }
 
-/// Some bytes of a [`BufferBudget`], released on drop.
+/// Reservation of memory from a [`BufferBudget`], released on drop.
 pub struct BufferReservation {
     budget: Rc<BufferBudget>,
     bytes: usize,
 }
 
 impl BufferReservation {
-    /// Releases all but `bytes`.
+    /// Releases all but `bytes` bytes of the reservation.
     fn shrink_to(&mut self, bytes: usize) {
         let excess = self.bytes.saturating_sub(bytes);
         self.budget.release(excess);
@@ -65,26 +67,26 @@
     }
 }
 
-/// A body while it is being buffered. It takes no more memory than its reservation.
+/// Buffer that receives a body. It allocates no more memory than it has reserved.
 pub struct BodyBuffer {
     bytes: BytesMut,
     reservation: BufferReservation,
 }
 
 impl BodyBuffer {
-    /// An empty buffer.
+    /// Creates an empty buffer.
     pub fn new(reservation: BufferReservation) -> BodyBuffer {
         BodyBuffer { bytes: BytesMut::new(), reservation }
     }
 
-    /// Appends a piece, or returns it if it exceeds the reservation.
+    /// Appends a piece, or returns it as the error if it exceeds the reservation.
     pub fn push(&mut self, piece: Bytes) -> Result<(), Bytes> {
         let needed = self.bytes.len() + piece.len();
         if needed > self.reservation.bytes {
             return Err(piece);
         }
         if needed > self.bytes.capacity() {
-            // `BytesMut` by itself would grow beyond the reservation.
+            // `BytesMut::extend_from_slice` may grow the buffer beyond the reservation.
             let capacity = (2 * self.bytes.capacity()).clamp(needed, self.reservation.bytes);
             let mut grown = BytesMut::with_capacity(capacity);
             grown.extend_from_slice(&self.bytes);
@@ -94,14 +96,14 @@
         Ok(())
     }
 
-    /// What was buffered, with a reservation of just the memory that it takes.
+    /// Returns the buffered bytes and the reservation, reduced to the memory that they use.
     pub fn freeze(mut self) -> (Bytes, BufferReservation) {
         self.reservation.shrink_to(self.bytes.capacity());
         (self.bytes.freeze(), self.reservation)
     }
 }
 
-/// What was read of a body before it turned out to be too large to be buffered.
+/// The part of a body that was read before the body turned out to be too large to be buffered.
 #[derive(Default)]
 pub struct BufferedPrefix {
     buffered: Option<(Bytes, BufferReservation)>,
@@ -110,25 +112,25 @@
 }
 
 impl BufferedPrefix {
-    /// What was buffered, if anything, and the piece that exceeded the reservation.
+    /// Creates a prefix of what was buffered, if anything, and the piece that exceeded the reservation.
     pub fn new(buffer: Option<BodyBuffer>, overflow: Bytes) -> BufferedPrefix {
         let buffered = buffer.map(BodyBuffer::freeze).filter(|(bytes, _)| !bytes.is_empty());
         BufferedPrefix { buffered, overflow: Some(overflow) }
     }
 
-    /// How many bytes are still to be passed on.
+    /// Returns the number of bytes that are still to be passed on.
     pub fn len(&self) -> usize {
         let buffered = self.buffered.as_ref().map_or(0, |(bytes, _)| bytes.len());
         buffered + self.overflow.as_ref().map_or(0, Bytes::len)
     }
 
-    /// Whether all of it was passed on.
+    /// Returns whether the whole prefix was passed on.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The next piece. It is a copy, so that the reservation ends with the last piece and not with its
-    /// reader.
+    /// Returns the next piece. Pieces of the buffer are copies, so that the reservation is released with the
+    /// last of them, even while the reader still holds it.
     pub fn next_piece(&mut self) -> Option<Bytes> {
         let Some((bytes, _)) = &mut self.buffered else { return self.overflow.take() };
         let piece = Bytes::copy_from_slice(&bytes.split_to(bytes.len().min(MAX_PIECE_BYTES)));
--- a/src/node/body/error.rs
+++ b/src/node/body/error.rs
@@ -1,20 +1,20 @@
-//! Why a client's body could not be received.
+//! Errors of receiving a client's body.
 
 use crate::body::incoming::{MAX_BODY_BYTES, ReceiveError};
 
-/// Why a client's body could not be received. It is kept for all who wait for the body.
+/// The reason why a client's body could not be received. Each task that waits for the body gets a copy.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 pub enum BodyError {
-    /// It is longer than is allowed.
+    /// The body is longer than [`MAX_BODY_BYTES`].
     #[error("the body is over {} MiB", MAX_BODY_BYTES >> 20)]
     TooLarge,
-    /// The client sends it more slowly than it has to.
+    /// The client sends the body more slowly than is required.
     #[error("the body was not received in time")]
     TooSlow,
-    /// The client has closed its connection: nobody reads this.
+    /// The client has closed its connection, so the message reaches nobody.
     #[error("the client has disconnected")]
     ClientDisconnected,
-    /// The connection broke off within the body, or the body's framing is invalid.
+    /// The connection failed before the end of the body, or the framing of the body is invalid.
     #[error("the body is broken")]
     Broken,
 }
--- a/src/node/body/incoming.rs
+++ b/src/node/body/incoming.rs
@@ -1,4 +1,4 @@
-//! What hyper receives of a body, counted and bounded.
+//! Message bodies as hyper receives them, with their length counted and limited.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -6,28 +6,29 @@
 use bytes::Bytes;
 use hyper::body::{Body, Incoming, SizeHint};
 
-/// The most bytes that a body may have, in either direction.
+/// Maximum length of a request or response body, in bytes.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
 
-/// Why no more of a body can be received.
+/// The reason why no more of a body can be received.
 #[derive(Debug, thiserror::Error)]
 pub enum ReceiveError {
-    /// It is longer than [`MAX_BODY_BYTES`].
+    /// The body is longer than [`MAX_BODY_BYTES`].
     #[error("the body is over {} MiB", MAX_BODY_BYTES >> 20)]
     TooLarge,
-    /// The connection broke off within the body, or the body's framing is invalid.
+    /// The connection failed before the end of the body, or the framing of the body is invalid.
     #[error("the body is broken")]
     Broken(#[source] hyper::Error),
 }
 
-/// The data of a body as it is received.
+/// A body that is being received, with a count of its bytes.
 pub struct IncomingBody {
     body: Incoming,
     received: u64,
 }
 
 impl IncomingBody {
-    /// A body of which nothing was read yet. One that states too great a length is not read at all.
+    /// Wraps a body of which nothing was read yet. Returns an error if the body states a length above
+    /// [`MAX_BODY_BYTES`], without reading any of it.
     pub fn new(body: Incoming) -> Result<IncomingBody, ReceiveError> {
         match body.size_hint().lower() > MAX_BODY_BYTES {
             true => Err(ReceiveError::TooLarge),
@@ -35,23 +36,23 @@
         }
     }
 
-    /// How many bytes were received.
+    /// Returns the number of bytes received so far.
     pub fn received(&self) -> u64 {
         self.received
     }
 
-    /// Whether all of it was received, as far as that shows before its end is read.
+    /// Returns whether the whole body was received, as far as that is known before its end is read.
     pub fn is_end_stream(&self) -> bool {
         self.body.is_end_stream()
     }
 
-    /// How many bytes are still to be received.
+    /// Returns bounds on the number of bytes that are still to be received.
     pub fn size_hint(&self) -> SizeHint {
         self.body.size_hint()
     }
 
-    /// The next piece, or `None` at the end. Trailers are skipped: they are about the message and not its
-    /// content.
+    /// Polls for the next piece, `None` at the end of the body. Trailers are skipped, because they are
+    /// metadata of the message and not part of its content.
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, ReceiveError>> {
         loop {
             let Some(frame) = ready!(Pin::new(&mut self.body).poll_frame(cx)) else {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// As [`IncomingBody::poll_data`].
+    /// Returns the next piece like [`IncomingBody::poll_data`], as a future.
     pub async fn data(&mut self) -> Result<Option<Bytes>, ReceiveError> {
         std::future::poll_fn(|cx| self.poll_data(cx)).await
     }
--- a/src/node/body/mod.rs
+++ b/src/node/body/mod.rs
@@ -1,10 +1,10 @@
-//! Message bodies. Small ones are buffered, so that they can be sent again or thrown away; larger ones, and
-//! those for which the memory budget has no capacity left, pass through in pieces, each read when its reader
-//! asks for it.
+//! Message bodies. Small bodies are buffered, so that they can be sent again or discarded. Larger bodies, and
+//! those for which the memory budget has no capacity left, are streamed in pieces, each of which is read when
+//! the receiver asks for it.
 //!
-//! [`budget`] owns the memory, [`incoming`] counts and bounds what hyper receives. Request bodies are read by
-//! [`request`], at the pace that [`pacing`] demands of clients, and sent by [`outbound`]; [`response`] does
-//! both for response bodies.
+//! [`budget`] manages the memory, [`incoming`] counts the bytes that hyper receives and limits their number.
+//! [`request`] reads request bodies, for which [`pacing`] enforces a minimum rate, and [`outbound`] sends
+//! them. [`response`] reads and sends response bodies.
 
 mod budget;
 mod error;
--- a/src/node/body/outbound.rs
+++ b/src/node/body/outbound.rs
@@ -10,16 +10,16 @@
 
 use crate::body::request::{RequestBody, StreamingRequestBody, UploadProgress};
 
-/// Takes what is left of a buffered body as one frame; `None` if nothing is.
+/// Takes the rest of a buffered body as one frame, `None` if nothing is left.
 pub fn take_frame(bytes: &mut Bytes) -> Option<Frame<Bytes>> {
     (!bytes.is_empty()).then(|| Frame::data(std::mem::take(bytes)))
 }
 
-/// A [`RequestBody`] as hyper sends it in one attempt.
+/// A [`RequestBody`] in the form in which hyper sends it in one attempt.
 pub enum OutboundBody {
-    /// What is still to be sent of a buffered body.
+    /// The bytes of a buffered body that are still to be sent.
     Buffered(Bytes),
-    /// A body that passes through.
+    /// A body that is streamed.
     Streamed(Rc<StreamingRequestBody>),
 }
 
--- a/src/node/body/pacing.rs
+++ b/src/node/body/pacing.rs
@@ -1,4 +1,4 @@
-//! A client's body on its way in, with a deadline that moves on as the body does.
+//! Reception of a client's body with a deadline that every received piece extends.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -10,24 +10,26 @@
 use crate::body::error::BodyError;
 use crate::body::incoming::IncomingBody;
 
-/// The lowest rate at which a client may send, in bytes a second. Clients have to send at twice this rate;
-/// the rest allows for machines that run unevenly.
+/// Minimum rate at which a client may send. The rate that is required of clients is twice as high; the
+/// difference is a tolerance for machines that run unevenly.
 const MIN_UPLOAD_BYTES_PER_SECOND: f64 = 32_000.0;
-/// How long a client that is fast enough may pause: it may send what is due for a second at once.
+/// Maximum time that a client may pause, however much it has sent. A client that keeps to the required rate
+/// may send the data of one second at once.
 const MAX_UPLOAD_PAUSE: Duration = Duration::from_millis(1500);
 
-/// A client's body, received no more slowly than is allowed.
+/// A client's body, with a minimum rate at which it has to be received.
 pub struct PacedBody {
     body: IncomingBody,
-    /// By when more has to be received.
+    /// The time by which more data has to be received.
     progress_deadline: Instant,
+    /// Completes at `progress_deadline`. It is adjusted only when a poll finds no data.
     timer: Pin<Box<Sleep>>,
-    /// Since when nobody has polled for more: that time does not count against the client.
+    /// The time since which nobody has polled for data. That time does not count against the client.
     unpolled_since: Option<Instant>,
 }
 
 impl PacedBody {
-    /// A body of which something has to be received by `due`.
+    /// Wraps a body of which the first data has to be received by `progress_deadline`.
     pub fn new(body: IncomingBody, progress_deadline: Instant) -> PacedBody {
         PacedBody {
             body,
@@ -37,22 +39,22 @@
         }
     }
 
-    /// How many bytes were received.
+    /// Returns the number of bytes received so far.
     pub fn received(&self) -> u64 {
         self.body.received()
     }
 
-    /// For how long nobody has polled for more.
+    /// Returns for how long nobody has polled for data.
     pub fn unpolled_for(&self) -> Duration {
         self.unpolled_since.map_or(Duration::ZERO, |since| since.elapsed())
     }
 
-    /// Stops the client's time until the next poll.
+    /// Suspends the deadline until the next poll.
     pub fn pause(&mut self) {
         self.unpolled_since = Some(Instant::now());
     }
 
-    /// The next piece, or `None` at the end.
+    /// Polls for the next piece, `None` at the end of the body.
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, BodyError>> {
         self.progress_deadline += self.unpolled_for();
         self.unpolled_since = None;
@@ -74,12 +76,19 @@
         }
     }
 
-    /// As [`PacedBody::poll_data`].
+    /// Returns the next piece like [`PacedBody::poll_data`], as a future.
     pub async fn data(&mut self) -> Result<Option<Bytes>, BodyError> {
         std::future::poll_fn(|cx| self.poll_data(cx)).await
     }
 
-    /// Moves the deadline on for so many bytes received.
+    /// Extends the deadline after `bytes` bytes were received, by the time that they take at the minimum
+    /// rate:
+    ///
+    /// ```text
+    /// new_deadline = max(deadline, min(deadline + bytes / rate, now + pause))
+    /// ```
+    ///
+    /// `rate` is [`MIN_UPLOAD_BYTES_PER_SECOND`] and `pause` is [`MAX_UPLOAD_PAUSE`].
     fn extend_deadline(&mut self, bytes: usize) {
         let extension = Duration::from_secs_f64(bytes as f64 / MIN_UPLOAD_BYTES_PER_SECOND);
         self.progress_deadline = self
--- a/src/node/body/request.rs
+++ b/src/node/body/request.rs
@@ -1,4 +1,4 @@
-//! Request bodies: buffered, or passing through to the one endpoint that they are forwarded to.
+//! Request bodies: buffered, or streamed to the one endpoint that they are forwarded to.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,27 +16,27 @@
 use crate::body::pacing::PacedBody;
 use crate::net::SocketObserver;
 
-/// How far a body has got that passes through.
+/// Progress of a streamed request body.
 #[derive(Clone, Copy)]
 pub enum UploadProgress {
-    /// Nothing of it was forwarded.
+    /// Nothing of the body was forwarded.
     NotStarted,
-    /// Some of it was forwarded, and is not kept any longer.
+    /// Some of the body was forwarded, and is no longer in memory.
     Forwarding,
-    /// Its last byte was received at this time.
+    /// The last byte of the body was received at this time.
     Complete(Instant),
-    /// The client failed to send it.
+    /// The body could not be received from the client.
     Failed(BodyError),
 }
 
 type ProgressListener = Box<dyn Fn(UploadProgress)>;
 
-/// A request body that passes through.
+/// A request body that is streamed.
 pub struct StreamingRequestBody {
-    /// What was read of it before it was known to pass through.
+    /// The part that was read before the body was known to be streamed.
     prefix: RefCell<BufferedPrefix>,
     rest: RefCell<PacedBody>,
-    /// How many bytes it has, if the client has stated that.
+    /// The length of the body in bytes, if the client has stated it.
     length: Option<u64>,
     progress: watch::Sender<UploadProgress>,
     listener: RefCell<Option<ProgressListener>>,
@@ -44,34 +44,35 @@
 }
 
 impl StreamingRequestBody {
-    /// How far it has got.
+    /// Returns the progress of the body.
     pub fn progress(&self) -> UploadProgress {
         *self.progress.borrow()
     }
 
-    /// How many bytes it has, if the client has stated that.
+    /// Returns the length of the body in bytes, if the client has stated it.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// Waits until the client has failed to send it, for ever if it does not.
+    /// Returns the error once receiving the body from the client has failed; never returns if it does not
+    /// fail.
     pub async fn failed(&self) -> BodyError {
         let mut progress = self.progress.subscribe();
         loop {
             if let UploadProgress::Failed(error) = *progress.borrow_and_update() {
                 return error;
             }
-            // An error would say that the sender is gone, which `self` owns.
+            // An error would mean that the sender was dropped, but `self` owns the sender.
             let _ = progress.changed().await;
         }
     }
 
-    /// For how long no endpoint has taken any more of it.
+    /// Returns for how long no attempt has polled for more of the body.
     pub fn unpolled_for(&self) -> Duration {
         self.rest.borrow().unpolled_for()
     }
 
-    /// Has `listener` called whenever the progress changes.
+    /// Sets the `listener` that is called whenever the progress changes.
     pub fn on_progress(&self, listener: impl Fn(UploadProgress) + 'static) {
         *self.listener.borrow_mut() = Some(Box::new(listener));
     }
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The next piece for the endpoint.
+    /// Polls for the next piece to send to the endpoint, `None` at the end of the body.
     pub fn poll_data(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         match self.progress() {
             UploadProgress::NotStarted => self.advance(UploadProgress::Forwarding),
@@ -101,13 +102,13 @@
         Poll::Ready(received.transpose())
     }
 
-    /// The next piece behind the prefix.
+    /// Polls for the next piece after the prefix, `None` at the end of the body.
     fn poll_rest(&self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, BodyError>> {
         let mut rest = self.rest.borrow_mut();
         let data = ready!(rest.poll_data(cx))?;
         if data.is_none() || self.length == Some(rest.received()) {
-            // A client's disconnect is behind what it has sent, and may show only now. No endpoint executes
-            // the request without its last byte.
+            // A client's disconnect becomes visible only after all that it has sent, so it may show only now.
+            // Without the last byte no endpoint executes the request.
             if self.observer.is_peer_closed() {
                 return Poll::Ready(Err(BodyError::ClientDisconnected));
             }
@@ -118,23 +119,23 @@
     }
 }
 
-/// A client's body as it is sent to endpoints.
+/// A client's body, as attempts send it to endpoints.
 #[derive(Clone)]
 pub enum RequestBody {
-    /// All of it, to be sent as often as necessary.
+    /// The whole body, which can be sent any number of times.
     Buffered {
-        /// The body.
+        /// The bytes of the body.
         bytes: Bytes,
-        /// What its clones take of the budget together.
+        /// The reservation for the bytes, shared by all clones.
         _reservation: Rc<Option<BufferReservation>>,
     },
-    /// It passes through.
+    /// The body is streamed, so it can be sent only once.
     Streamed(Rc<StreamingRequestBody>),
 }
 
 impl RequestBody {
-    /// Receives a body that has to make progress by `due`: all of it if it is small and `budget` has
-    /// capacity.
+    /// Receives a body, of which the first data has to arrive by `progress_deadline`. Reads the whole body if
+    /// it is small and `budget` has capacity; otherwise the rest is read as it is forwarded.
     pub async fn read(
         body: Incoming,
         progress_deadline: Instant,
@@ -158,7 +159,7 @@
             },
             None => BufferedPrefix::default(),
         };
-        // Until an endpoint takes it, nobody polls for more.
+        // Nobody polls for more until an attempt begins to send the body.
         body.pause();
         Ok(RequestBody::Streamed(Rc::new(StreamingRequestBody {
             prefix: RefCell::new(prefix),
@@ -174,7 +175,7 @@
         RequestBody::Buffered { bytes, _reservation: Rc::new(reservation) }
     }
 
-    /// How many bytes it has, if that is known before its end.
+    /// Returns the length of the body in bytes, if that is known before its end.
     pub fn length(&self) -> Option<u64> {
         match self {
             RequestBody::Buffered { bytes, .. } => Some(bytes.len() as u64),
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Whether the client failed to send it.
+    /// Returns whether the body could not be received from the client.
     pub fn has_failed(&self) -> bool {
         match self {
             RequestBody::Buffered { .. } => false,
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Whether it can be sent, or sent again.
+    /// Returns whether an attempt can send the body from its beginning.
     pub fn is_replayable(&self) -> bool {
         match self {
             RequestBody::Buffered { .. } => true,
@@ -199,11 +200,11 @@
     }
 }
 
-/// How the attempt to buffer a body has ended.
+/// Result of buffering a body.
 enum Buffering {
-    /// This is all of it.
+    /// The whole body was buffered.
     Complete(Bytes, BufferReservation),
-    /// It is larger than the reservation.
+    /// The body is larger than the reservation.
     Exceeded(BufferedPrefix),
 }
 
--- a/src/node/body/response.rs
+++ b/src/node/body/response.rs
@@ -1,4 +1,4 @@
-//! Response bodies: buffered, or passing through to the client.
+//! Response bodies: buffered, or streamed to the client.
 
 use std::any::Any;
 use std::io;
@@ -15,20 +15,20 @@
 use crate::body::incoming::{IncomingBody, ReceiveError};
 use crate::body::outbound::take_frame;
 
-/// How long an endpoint may pause in a response that has begun to pass through to its client. It is long
-/// because to fail such a response helps nobody but the next request in the queue.
+/// Maximum time that an endpoint may pause within a response that is already being streamed to its client. It
+/// is long because breaking off such a response benefits only the next request in the queue.
 const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What was read of an endpoint's response before it is passed on.
+/// The part of an endpoint's response body that is read before the response is passed on.
 pub enum ResponsePrefix {
-    /// All of it.
+    /// The whole body, and the reservation for its memory, if any.
     Complete(Bytes, Option<BufferReservation>),
-    /// The first pieces of a larger one, and the rest.
+    /// The beginning of a body that was not buffered completely, and its unread rest.
     Partial(BufferedPrefix, IncomingBody),
 }
 
 impl ResponsePrefix {
-    /// Reads all of a response that is small, and the first pieces of a larger one.
+    /// Reads the whole body if it is small and `budget` has capacity, otherwise only its first pieces.
     pub async fn read(body: Incoming, budget: &Rc<BufferBudget>) -> Result<ResponsePrefix, ReceiveError> {
         let mut body = IncomingBody::new(body)?;
         let mut buffer = budget.reserve(&body.size_hint()).map(BodyBuffer::new);
@@ -46,38 +46,40 @@
     }
 }
 
-/// How a response that passes through has ended.
+/// The way in which the transfer of a streamed response ended.
 #[derive(Clone, Copy)]
 pub enum TransferEnd {
-    /// All of it was received.
+    /// The whole response was received.
     Complete,
-    /// It broke off, and the client can tell.
+    /// The response was broken off, which the client can tell from its framing.
     Broken,
     /// The client has disconnected.
     ClientDisconnected,
 }
 
-/// Why a response that passes through has broken off.
+/// The reason why a streamed response was broken off.
 #[derive(Debug, thiserror::Error)]
 enum TransferError {
-    #[error("the endpoint has sent nothing more of the response for {} s", STALL_TIMEOUT.as_secs())]
+    #[error("no response data was received from the endpoint for {} s", STALL_TIMEOUT.as_secs())]
     Stalled,
-    #[error("the response cannot be received")]
+    #[error("the response body could not be received")]
     Receive(#[from] ReceiveError),
 }
 
-/// An endpoint's response that passes through.
+/// An endpoint's response body that is streamed.
 pub struct StreamingResponseBody {
     prefix: BufferedPrefix,
     rest: IncomingBody,
-    /// While the endpoint is waited for: ends when it has been silent for too long.
+    /// Set while more of the body is awaited; completes when the endpoint has sent nothing for
+    /// [`STALL_TIMEOUT`].
     stall_timer: Option<Pin<Box<Sleep>>>,
-    /// Called once, at the end.
+    /// Called once, when the transfer ends.
     on_end: Option<Box<dyn FnOnce(TransferEnd)>>,
 }
 
 impl StreamingResponseBody {
-    /// What [`ResponsePrefix::Partial`] holds. `on_end` is called once with how the transfer has ended.
+    /// Creates a body from the contents of [`ResponsePrefix::Partial`]. `on_end` is called once, with the way
+    /// in which the transfer ended.
     pub fn new(
         prefix: BufferedPrefix,
         rest: IncomingBody,
@@ -92,7 +94,7 @@
         }
     }
 
-    /// The next piece for the client.
+    /// Polls for the next piece to send to the client, `None` at the end of the body.
     fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, TransferError>>> {
         let received = match self.prefix.next_piece() {
             Some(piece) => Ok(Some(piece)),
@@ -108,7 +110,7 @@
         Poll::Ready(received.transpose())
     }
 
-    /// The next piece behind the prefix.
+    /// Polls for the next piece after the prefix, `None` at the end of the body.
     fn poll_rest(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, TransferError>> {
         match self.rest.poll_data(cx) {
             Poll::Ready(received) => {
@@ -142,7 +144,7 @@
 /// The body of a response to a client.
 pub struct ResponseBody {
     content: Content,
-    /// Dropped once hyper has taken the last of the content.
+    /// Dropped with this body, which hyper keeps until it has taken the last of the content.
     _guard: Option<Box<dyn Any>>,
 }
 
@@ -152,13 +154,13 @@
 }
 
 impl ResponseBody {
-    /// A body that is there, and what it takes of the budget.
+    /// Creates a body from `bytes`, with the memory reserved for them.
     pub fn buffered(bytes: Bytes, reservation: Option<BufferReservation>) -> ResponseBody {
         let content = Content::Buffered { bytes, _reservation: reservation };
         ResponseBody { content, _guard: None }
     }
 
-    /// A body that passes through.
+    /// Creates a body that is streamed.
     pub fn streaming(body: StreamingResponseBody) -> ResponseBody {
         ResponseBody { content: Content::Streaming(Box::new(body)), _guard: None }
     }
--- a/tests/node/large_bodies.rs
+++ b/tests/node/large_bodies.rs
@@ -1,4 +1,4 @@
-//! Large request and response bodies, in each framing of HTTP/1.1.
+//! Large request and response bodies in each framing of HTTP/1.1: forwarding, backpressure, retries, aborts.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpListener;
@@ -7,7 +7,7 @@
 
 use crate::support::*;
 
-/// A body in chunks of many sizes, with extensions and a trailer.
+/// Encodes a body in chunks of many sizes, with chunk extensions and a trailer.
 fn encode_chunked(body: &[u8]) -> Vec<u8> {
     let (mut encoded, mut offset, mut size) = (Vec::new(), 0, 1);
     while offset < body.len() {
@@ -40,7 +40,8 @@
         let length = format!("Content-Length: {}\r\n", body.len());
         let response = client.exchange(&[request_head("POST", "/order/1", &length), body.clone()].concat());
         assert_eq!((response.status(), response.body == body), (200, true));
-        // The client's connection is reused, and the upstream connection where its framing allows.
+        // The client's connection is reused, and so is the upstream connection if the response's framing
+        // allows it.
         assert_eq!(client.exchange(&order_request()).body, b"yen");
         let encoded =
             [request_head("POST", "/order/1", "Transfer-Encoding: chunked\r\n"), encode_chunked(&body)]
@@ -51,7 +52,7 @@
     }
 }
 
-/// How many bytes a connection takes before writes block.
+/// Writes until the connection accepts no more or `limit` is reached. Returns the number of bytes written.
 fn write_until_blocked(client: &mut Connection, limit: usize) -> usize {
     client.stream.set_write_timeout(Some(Duration::from_millis(500))).unwrap();
     let mut sent = 0;
@@ -68,7 +69,7 @@
 #[test]
 fn backpressure_applies_in_both_directions() {
     const BODY_BYTES: usize = 32 << 20;
-    // An endpoint that accepts a connection and reads nothing.
+    // The endpoint accepts a connection and reads nothing.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let node = Node::start(&[endpoint_entry("a", listener.local_addr().unwrap(), 1, "ready")]);
     let mut client = node.client();
@@ -77,7 +78,7 @@
     let sent = write_until_blocked(&mut client, BODY_BYTES);
     assert!(sent < BODY_BYTES / 2, "{sent} bytes were accepted for an endpoint that reads none");
     drop(stream);
-    // A client that reads nothing of its response.
+    // The client reads nothing of its response.
     let upstream = TcpListener::bind("127.0.0.1:0").unwrap();
     let node = Node::start(&[endpoint_entry("a", upstream.local_addr().unwrap(), 1, "ready")]);
     let mut client = node.client();
@@ -108,7 +109,8 @@
     }
 }
 
-/// Without cancellation the end of an attempt counts for the endpoint's health, but the client caused this one.
+/// With cancellation disabled, the end of every attempt counts towards the health of its endpoint. An attempt
+/// that ends because the client aborts its upload must not count as a failure of the endpoint.
 #[test]
 fn an_aborted_upload_does_not_count_as_an_endpoint_failure() {
     let listeners = [0, 1].map(|_| TcpListener::bind("127.0.0.1:0").unwrap());
@@ -120,7 +122,8 @@
     listeners.iter().for_each(|listener| listener.set_nonblocking(true).unwrap());
     let body = random_bytes(300_000);
     let (mut later_uploads, mut aborted_endpoint) = (0, None);
-    // Both endpoints respond alike, but for one upload that its client aborts: that endpoint has to stay in use.
+    // Both endpoints respond in the same way, except for one upload that its client aborts. The endpoint of
+    // that upload must stay in use.
     for n in 0..200 {
         let mut client = node.client();
         client.send(&request_head("POST", "/order/1", "Content-Length: 300000\r\n"));
--- a/tests/node/memory_limits.rs
+++ b/tests/node/memory_limits.rs
@@ -1,4 +1,4 @@
-//! The memory limit under many large bodies.
+//! Memory use of the node while it forwards or buffers many large bodies.
 
 use std::collections::HashSet;
 use std::io::Write;
@@ -22,10 +22,10 @@
                 let length = format!("Content-Length: {BODY_BYTES}\r\n");
                 client.stream.write_all(&request_head("POST", "/order/1", &length)).unwrap();
                 client.stream.write_all(&body).unwrap();
-                // All responses wait for their readers at the same time.
+                // During this pause all responses wait to be read by their clients.
                 thread::sleep(Duration::from_secs(2));
                 let response = client.receive();
-                // Some may be rejected under this load, but a response is complete.
+                // Some requests may be rejected under this load, but a 200 response must be complete.
                 assert!(response.status() != 200 || response.body == *body);
                 response.status() == 200
             })
@@ -37,8 +37,8 @@
     assert!(memory < 32 << 20, "{memory} bytes, one body has {BODY_BYTES}");
 }
 
-/// Little memory for the number of descriptors, and every buffer is full: endpoints read nothing, and each client sends
-/// as much as it can.
+/// The memory limit is low for the number of descriptors, and every buffer is full: the endpoints read
+/// nothing, and each client sends as much as it can.
 #[test]
 fn many_uploads_stay_within_the_memory_limit() {
     const MEMORY_MIB: usize = 32;
@@ -69,7 +69,7 @@
     assert!(memory < MEMORY_MIB << 20, "{memory} bytes for {} uploads", clients.len());
 }
 
-/// The peak memory once it no longer grows.
+/// Waits until the peak memory of the node no longer grows, and returns it in bytes.
 fn settled_peak_memory(node: &Node) -> usize {
     let mut memory = 0;
     while memory < node.peak_memory() {
@@ -79,11 +79,12 @@
     memory
 }
 
-/// The buffer budget is used up, so the response is streamed; all of it is in the first piece.
+/// The buffer budget is used up, so responses are streamed. Each is so short that its first piece is the
+/// whole body, and its connection must be reused nevertheless.
 #[test]
 fn a_connection_is_reused_after_a_response_that_could_not_be_buffered() {
-    // The requests buffer an eighth of this; it carries connections for all requests sent here, so that none is
-    // closed in favour of another.
+    // The buffered requests use an eighth of this memory. It allows for a connection for each request sent
+    // here, so that no connection is closed to make room for another.
     const MEMORY_MIB: usize = 16;
     const ENDPOINTS: usize = MEMORY_MIB * 2;
     let respond = |_, request: &Message| match request.start_line.starts_with("POST") {
@@ -110,7 +111,7 @@
         (0..2 * ENDPOINTS).map(send_view).collect()
     };
     let connections_before = send_views();
-    // Connections are not reused right after a response.
+    // The node does not reuse a connection immediately after a response.
     pause_before_reuse();
     assert!(!send_views().is_disjoint(&connections_before), "each request had a new connection");
 }
--- a/tests/unit/body_buffer.rs
+++ b/tests/unit/body_buffer.rs
@@ -1,4 +1,4 @@
-//! Unit tests of buffers for bodies: they keep to their reservation.
+//! Unit tests of body buffers and their memory reservations.
 
 use super::*;
 
