--- a/src/node/net/descriptors.rs
+++ b/src/node/net/descriptors.rs
@@ -2,13 +2,13 @@
 
 use std::io;
 
-/// The error code for the machine's limit.
+/// Error code: the machine has reached its limit on open files.
 const ENFILE: i32 = 23;
-/// The error code for the process's limit.
+/// Error code: the process has reached its limit on open descriptors.
 const EMFILE: i32 = 24;
 
-/// Whether a socket could not be opened or accepted because the process or the machine has no descriptor
-/// left.
+/// Returns whether a socket could not be opened or accepted because the process or the machine has no file
+/// descriptor left.
 pub fn is_descriptor_limit(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(ENFILE | EMFILE))
 }
--- a/src/node/net/downstream_socket.rs
+++ b/src/node/net/downstream_socket.rs
@@ -1,4 +1,4 @@
-//! The socket of a client's connection, observed while hyper reads and writes it.
+//! The socket of a client's connection, with an observer of what hyper reads from it and writes to it.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -18,54 +18,60 @@
 use super::framing::MessageFramer;
 use super::receive_queue::ReceiveQueue;
 
-/// For how long a client that still sends may read the response that rejects it, before the connection is
-/// closed. Closing with unread bytes resets the connection, and the response may be lost with it.
+/// Maximum time that a client that is still sending has to read the response that rejects its request, before
+/// the connection is closed. Closing a socket with unread bytes resets the connection, and the reset may
+/// discard the response.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// How many bytes are read from the client meanwhile.
+/// Maximum number of bytes that are read from the client and discarded during that time.
 const MAX_LINGER_BYTES: usize = 32 << 20;
-/// The size of the buffer that those are read into.
+/// Size of the buffer into which they are read, in bytes.
 const LINGER_BUFFER_BYTES: usize = 16 << 10;
-/// How many bytes of responses the kernel may buffer; it doubles this for its own book-keeping.
+/// Size of the kernel's send buffer that the node requests for a client's socket, in bytes. The kernel
+/// doubles it for its own bookkeeping.
 const SEND_BUFFER_BYTES: usize = 128 << 10;
 
-/// What was seen on a client's socket, shared with those who respond on it.
+/// Observations of a client's socket, shared with the code that responds on it.
 pub struct SocketObserver {
     stream: OwnedWriteHalf,
     framer: RefCell<MessageFramer>,
+    /// Whether the socket reads on for a while after the last response.
     should_linger: Cell<bool>,
     write_blocked_since: Cell<Option<Instant>>,
 }
 
 impl SocketObserver {
-    /// Whether some of a request was received.
+    /// Returns whether a part of the current request was read.
     pub fn has_request_started(&self) -> bool {
         self.framer.borrow().has_started()
     }
 
-    /// Since when the head of a request has been arriving.
+    /// Returns the time at which the head of the current request began to arrive, if the head is incomplete.
     pub fn head_since(&self) -> Option<Instant> {
         self.framer.borrow().head_started_at()
     }
 
-    /// Since when the kernel has taken nothing of what waits to be written.
+    /// Returns the time since which the kernel has accepted none of the bytes that wait to be written, if any
+    /// do.
     pub fn write_blocked_since(&self) -> Option<Instant> {
         self.write_blocked_since.get()
     }
 
-    /// Returns once the client has closed its side or reset the connection, whatever it sent before. hyper
-    /// would not notice: it reads no further while it has bytes that nobody has polled for.
+    /// Returns once the client has closed its side or reset the connection, even if bytes that it sent before
+    /// are unread. hyper does not notice that: it reads nothing more while it has bytes that nobody has
+    /// polled for.
     pub async fn closed(&self) {
-        // Priority data is not used, so that readiness of this interest means the end of what can be read.
+        // HTTP/1.1 uses no priority data, so readiness for this interest means the end of the data that can
+        // be read.
         while self.stream.ready(Interest::PRIORITY).await.is_ok_and(|ready| !ready.is_read_closed()) {}
     }
 
-    /// Whether the client has closed or reset the connection, as far as the kernel knows now, and has sent
-    /// nothing before that is still to be read.
+    /// Returns whether the client has closed or reset the connection, as far as the kernel knows now, and
+    /// nothing that it sent before is still to be read.
     pub fn is_peer_closed(&self) -> bool {
         matches!(self.receive_queue(), ReceiveQueue::EndOfStream | ReceiveQueue::Failed)
     }
 
-    /// Whether the kernel has received bytes of a request that are still to be read.
+    /// Returns whether the kernel has received bytes of a request that are still to be read.
     pub fn has_unread_data(&self) -> bool {
         self.receive_queue() == ReceiveQueue::Data
     }
@@ -74,23 +80,23 @@
         ReceiveQueue::of(self.stream.as_ref())
     }
 
-    /// Whether the head of the current request may state a length. hyper hides that if the request has a
-    /// `Transfer-Encoding` too.
+    /// Returns whether the head of the current request may contain a `Content-Length`, which hyper hides if
+    /// the request also has a `Transfer-Encoding`.
     pub fn may_have_content_length(&self) -> bool {
         self.framer.borrow().may_have_content_length()
     }
 
-    /// The current request was read to its end, with a body of this length if that is known.
+    /// Records that the current request was read to its end, with a body of `length` bytes if that is known.
     pub fn request_completed(&self, length: Option<u64>) {
         self.framer.borrow_mut().complete(length);
     }
 
-    /// Has the socket read on for a while after the last response, as the client may still be sending.
+    /// Makes the socket read on for a while after the last response, as the client may still be sending.
     pub fn linger(&self) {
         self.should_linger.set(true);
     }
 
-    /// Writes what the kernel takes, once it takes some.
+    /// Writes as much as the kernel accepts, and records since when it accepts nothing.
     fn poll_write(
         &self,
         cx: &mut Context<'_>,
@@ -102,6 +108,7 @@
         result
     }
 
+    /// Writes as much as the kernel accepts, once it accepts anything.
     fn poll_write_unobserved(
         &self,
         cx: &mut Context<'_>,
@@ -117,7 +124,7 @@
         }
     }
 
-    /// Sends the end of the stream to the client.
+    /// Closes the write side, which sends the client the end of the stream.
     fn shut_down_write(&self) -> io::Result<()> {
         match SockRef::from(self.stream.as_ref()).shutdown(Shutdown::Write) {
             Err(error) if error.kind() != io::ErrorKind::NotConnected => Err(error),
@@ -126,7 +133,7 @@
     }
 }
 
-/// The reading of what a client still sends after its last response.
+/// Reads and discards what a client still sends after the last response to it.
 struct Lingering {
     timer: Pin<Box<Sleep>>,
     remaining_bytes: usize,
@@ -137,8 +144,8 @@
         Lingering { timer: Box::pin(sleep(LINGER_TIMEOUT)), remaining_bytes: MAX_LINGER_BYTES }
     }
 
-    /// Reads and discards until the client has closed its side or the time is up. Once it has sent too much,
-    /// only waits.
+    /// Reads and discards data until the client has closed its side or [`LINGER_TIMEOUT`] has passed. After
+    /// [`MAX_LINGER_BYTES`] it reads nothing more and only waits for the timeout.
     fn poll(&mut self, cx: &mut Context<'_>, reader: &mut OwnedReadHalf) -> Poll<()> {
         while self.timer.as_mut().poll(cx).is_pending() {
             if self.remaining_bytes == 0 {
@@ -157,19 +164,19 @@
     }
 }
 
-/// A client's socket, as hyper uses it.
+/// A client's socket, through which hyper reads and writes.
 pub struct DownstreamSocket {
     reader: OwnedReadHalf,
     observer: Rc<SocketObserver>,
-    /// Set once the writing side is closed.
+    /// Set once the write side is closed, if the socket lingers.
     lingering: Option<Lingering>,
 }
 
 impl DownstreamSocket {
-    /// Wraps an accepted stream.
+    /// Wraps an accepted stream, and returns the socket and its observer.
     pub fn new(stream: TcpStream) -> (DownstreamSocket, Rc<SocketObserver>) {
-        // That a slow client reads shows only as the kernel's buffer empties, and that would grow to
-        // megabytes.
+        // The progress of a slow client is visible only when the kernel's send buffer drains. Without this
+        // limit that buffer would grow to megabytes.
         let _ = SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES);
         let (reader, stream) = stream.into_split();
         let observer = Rc::new(SocketObserver {
@@ -213,7 +220,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // A TCP stream buffers nothing outside of the kernel.
+        // A TCP stream has no buffer outside of the kernel.
         Poll::Ready(Ok(()))
     }
 
--- a/src/node/net/framing.rs
+++ b/src/node/net/framing.rs
@@ -1,32 +1,33 @@
-//! Where the requests on a downstream connection begin and end, as far as the bytes show it that hyper does
-//! not.
+//! Tracking of where requests begin and end on a downstream connection. It shows what hyper does not report:
+//! that a head has begun to arrive, and that a head has a `Content-Length` that hyper drops.
 
 use tokio::time::Instant;
 
-/// The beginning of a header line that states the length of a body. hyper drops this header from a request
-/// that has `Transfer-Encoding` too, which it must not have.
+/// The beginning of a header line that states the length of a body. A request must not have this header
+/// together with `Transfer-Encoding`; hyper drops it from such a request.
 const CONTENT_LENGTH: &[u8] = b"content-length:";
 
-/// Follows the bytes of one request of a downstream connection.
+/// Tracks the bytes of the current request on a downstream connection.
 pub struct MessageFramer {
+    /// Whether the head is incomplete.
     in_head: bool,
-    /// How many bytes the current line of the head has so far, line ends aside.
+    /// Number of bytes of the current line of the head so far, without CR and LF.
     line_length: usize,
-    /// Whether they match [`CONTENT_LENGTH`].
+    /// Whether the current line matches [`CONTENT_LENGTH`] so far.
     matches_content_length: bool,
-    /// When the first line began. Empty lines before it are skipped.
+    /// The time at which the first line of the head began. Empty lines before it are skipped.
     started_at: Option<Instant>,
-    /// How many lines state a length.
+    /// Number of lines that begin with [`CONTENT_LENGTH`].
     content_length_lines: usize,
-    /// How many bytes came behind the head.
+    /// Number of bytes received after the head.
     body_bytes: u64,
-    /// Whether an earlier request did not end where its framing said, so that bytes of one message may have
-    /// been taken for bytes of another.
+    /// Whether the bytes of an earlier request did not match its length, or that length was unknown, so that
+    /// bytes of one message may have been taken for bytes of another.
     is_ambiguous: bool,
 }
 
 impl MessageFramer {
-    /// For the first request of a connection.
+    /// Creates a framer for the first request of a connection.
     pub fn new() -> MessageFramer {
         MessageFramer {
             in_head: true,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Takes in what was read.
+    /// Processes bytes that were read from the connection.
     pub fn push(&mut self, bytes: &[u8]) {
         for (position, byte) in bytes.iter().enumerate() {
             if !self.in_head {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// An empty line ends the head, but is skipped before it.
+    /// Processes the end of a line. An empty line ends the head, or is skipped if it precedes the head.
     fn end_line(&mut self) {
         self.in_head = self.line_length > 0 || self.started_at.is_none();
         self.line_length = 0;
@@ -71,24 +72,25 @@
         }
     }
 
-    /// Goes on to the next request. This one was complete, with a body of `body_length` bytes if that is
-    /// known.
+    /// Begins the next request. The current request was complete, with a body of `body_length` bytes if that
+    /// is known.
     pub fn complete(&mut self, body_length: Option<u64>) {
         let is_ambiguous = self.is_ambiguous || self.in_head || body_length != Some(self.body_bytes);
         *self = MessageFramer { is_ambiguous, ..MessageFramer::new() };
     }
 
-    /// Whether some of the request was read.
+    /// Returns whether a part of the current request was read.
     pub fn has_started(&self) -> bool {
         self.started_at.is_some()
     }
 
-    /// When the head began, if it is not complete yet.
+    /// Returns the time at which the head began, if it is incomplete.
     pub fn head_started_at(&self) -> Option<Instant> {
         self.started_at.filter(|_| self.in_head)
     }
 
-    /// Whether the head may state a length.
+    /// Returns whether the head may contain a `Content-Length`. That is also assumed while the head is
+    /// incomplete, and if the bytes of an earlier request were ambiguous.
     pub fn may_have_content_length(&self) -> bool {
         self.content_length_lines > 0 || self.in_head || self.is_ambiguous
     }
--- a/src/node/net/inherited_listener.rs
+++ b/src/node/net/inherited_listener.rs
@@ -1,4 +1,4 @@
-//! The clients' listening socket that the platform holds and passes on to each process of a node.
+//! The listening socket for clients, which the platform holds open and passes on to each process of a node.
 
 use std::ffi::OsString;
 use std::io;
@@ -8,50 +8,51 @@
 use socket2::{SockRef, Socket};
 use thiserror::Error;
 
-/// The environment variable that holds the descriptor's number.
-const ENV_VARIABLE: &str = "GW_PASSED_SOCKET";
+/// The environment variable that holds the number of the socket's file descriptor.
+const SOCKET_VARIABLE: &str = "GW_PASSED_SOCKET";
 
-/// The highest descriptor of the standard streams, none of which is passed on as a socket.
+/// The highest descriptor number of the standard streams, none of which can be the inherited socket.
 const LAST_STANDARD_STREAM: RawFd = 2;
 
-/// Why the process cannot use the socket that it was passed.
+/// The reason why the process cannot use the socket that was passed to it.
 #[derive(Debug, Error)]
 pub enum InheritedListenerError {
-    /// The variable's value is not the number of a descriptor behind the standard streams.
-    #[error("{ENV_VARIABLE}: {value:?} is not the number of a descriptor above {LAST_STANDARD_STREAM}")]
+    /// The variable's value is not the number of a descriptor after the standard streams.
+    #[error("{SOCKET_VARIABLE}: {value:?} is not a file descriptor number above {LAST_STANDARD_STREAM}")]
     InvalidNumber {
         /// The variable's value.
         value: OsString,
     },
     /// The descriptor is not open, or not a socket.
-    #[error("{ENV_VARIABLE}: descriptor {descriptor} is not a usable socket")]
+    #[error("{SOCKET_VARIABLE}: file descriptor {descriptor} is not a usable socket")]
     Unusable {
         /// The descriptor's number.
         descriptor: RawFd,
-        /// What the kernel says of it.
+        /// The error that the kernel reports.
         source: io::Error,
     },
-    /// The socket does not listen.
-    #[error("{ENV_VARIABLE}: descriptor {descriptor} does not listen")]
+    /// The socket is not listening.
+    #[error("{SOCKET_VARIABLE}: file descriptor {descriptor} is not a listening socket")]
     NotListening {
         /// The descriptor's number.
         descriptor: RawFd,
     },
-    /// The socket listens, but not for TCP connections.
-    #[error("{ENV_VARIABLE}: descriptor {descriptor} does not listen for TCP")]
+    /// The socket is listening, but not for TCP connections.
+    #[error("{SOCKET_VARIABLE}: file descriptor {descriptor} is not a TCP listener")]
     NotTcp {
         /// The descriptor's number.
         descriptor: RawFd,
     },
 }
 
-/// The listener that was passed on, if one was. To be called before the process opens any descriptor.
+/// Returns the listener that was passed to the process, if any. Must be called before the process opens any
+/// file descriptor.
 ///
 /// # Errors
 ///
-/// If `GW_PASSED_SOCKET` is set and does not name a TCP listener.
+/// Returns an error if `GW_PASSED_SOCKET` is set and does not name a TCP listener.
 pub fn from_environment() -> Result<Option<TcpListener>, InheritedListenerError> {
-    let Some(value) = std::env::var_os(ENV_VARIABLE) else { return Ok(None) };
+    let Some(value) = std::env::var_os(SOCKET_VARIABLE) else { return Ok(None) };
     let descriptor = value.to_str().and_then(|text| text.parse().ok());
     match descriptor.filter(|number| *number > LAST_STANDARD_STREAM) {
         Some(descriptor) => adopt(descriptor).map(Some),
@@ -60,9 +61,9 @@
 }
 
 fn adopt(descriptor: RawFd) -> Result<TcpListener, InheritedListenerError> {
-    // SAFETY: nothing in this process has opened a descriptor but the standard streams, so this one, if it is
-    // open, is what the platform has passed on, and belongs to nobody else. If it is not, nothing is done
-    // with it but to ask the kernel, which says so.
+    // SAFETY: this process has opened no descriptor except the standard streams. If this descriptor is open,
+    // it was therefore passed on by the platform and has no other owner. If it is not open, it is used only
+    // in a system call that reports the error.
     #[allow(unsafe_code)]
     let socket = unsafe { OwnedFd::from_raw_fd(descriptor) };
     let error = match SockRef::from(&socket).is_listener() {
@@ -70,7 +71,7 @@
         Ok(false) => InheritedListenerError::NotListening { descriptor },
         Err(source) => InheritedListenerError::Unusable { descriptor, source },
     };
-    // Not this process's to close.
+    // This process does not own the descriptor, so it must not close it.
     let _ = socket.into_raw_fd();
     Err(error)
 }
@@ -79,7 +80,7 @@
     if socket.local_addr().ok().and_then(|address| address.as_socket()).is_none() {
         return Err(InheritedListenerError::NotTcp { descriptor });
     }
-    // The mode is shared with the node's other process, which wants the same.
+    // The node's other process shares this mode of the socket, and needs it too.
     socket.set_nonblocking(true).map_err(|source| InheritedListenerError::Unusable { descriptor, source })?;
     Ok(socket.into())
 }
--- a/src/node/net/mod.rs
+++ b/src/node/net/mod.rs
@@ -1,5 +1,5 @@
-//! Sockets: wrappers around TCP streams that observe the bytes that hyper reads and writes, and what limits
-//! sockets.
+//! Sockets: wrappers around TCP streams that observe the bytes that hyper reads and writes, the inherited
+//! listener, and limits on connections and file descriptors.
 
 pub mod inherited_listener;
 
--- a/src/node/net/permits.rs
+++ b/src/node/net/permits.rs
@@ -1,4 +1,4 @@
-//! Permits for upstream connections.
+//! Permits that limit the number of upstream connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,40 +7,41 @@
 
 /// Limits the number of upstream connections.
 ///
-/// Not a [`tokio::sync::Semaphore`], for two reasons. The limit changes while the process runs and may fall
-/// below the number of permits in use, which a semaphore can't represent: its permits can only be forgotten
-/// while they are available. And a semaphore hands a released permit to the waiter that came first, while
-/// here it goes to whoever asks next, so that a request that finds a permit free never queues behind those
-/// that still have to be woken.
+/// This is not a [`tokio::sync::Semaphore`], for two reasons. The limit changes while the process runs and
+/// may fall below the number of permits in use, which a semaphore can't represent: its permits can only be
+/// forgotten while they are available. Besides, a semaphore assigns a released permit to the first waiter.
+/// Here the next caller of [`ConnectionPermits::try_acquire`] gets it, so that a request that finds a permit
+/// free never waits for others that still have to be woken.
 pub struct ConnectionPermits {
+    /// Maximum number of permits in use. It may be below `in_use`.
     max: Cell<usize>,
     in_use: Cell<usize>,
-    /// Notified, one waiter at a time, when a permit was released.
+    /// Wakes one waiter for each permit that is released.
     released: Notify,
 }
 
 impl ConnectionPermits {
-    /// Permits for up to `max` connections.
+    /// Creates permits for at most `max` connections.
     pub fn new(max: usize) -> ConnectionPermits {
         ConnectionPermits { max: Cell::new(max), in_use: Cell::new(0), released: Notify::new() }
     }
 
-    /// How many connections there may be.
+    /// Returns the maximum number of connections.
     pub fn max(&self) -> usize {
         self.max.get()
     }
 
-    /// Changes how many connections there may be. Those beyond stay until they are closed.
+    /// Changes the maximum number of connections. Open connections above it stay until they are closed.
     pub fn set_max(&self, max: usize) {
         self.max.set(max);
     }
 
-    /// How many permits are in use.
+    /// Returns the number of permits in use.
     pub fn in_use(&self) -> usize {
         self.in_use.get()
     }
 
-    /// A permit, if there is one.
+    /// Returns a permit if one is available.
     pub fn try_acquire(self: &Rc<ConnectionPermits>) -> Option<ConnectionPermit> {
         if self.in_use.get() >= self.max.get() {
             return None;
@@ -49,13 +50,13 @@
         Some(ConnectionPermit(self.clone()))
     }
 
-    /// Waits until a permit is released. By the time that the caller runs another may have taken it.
+    /// Waits until a permit is released. Another task may have acquired it before the caller runs.
     pub async fn released(&self) {
         self.released.notified().await;
     }
 }
 
-/// The right to one connection, released when it is dropped.
+/// Permit for one connection, released on drop.
 pub struct ConnectionPermit(Rc<ConnectionPermits>);
 
 impl Drop for ConnectionPermit {
--- a/src/node/net/receive_queue.rs
+++ b/src/node/net/receive_queue.rs
@@ -1,4 +1,4 @@
-//! The kernel's receive queue of a socket, inspected without reading from it.
+//! Inspection of a socket's receive queue in the kernel, without reading from it.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -6,21 +6,21 @@
 use socket2::SockRef;
 use tokio::net::TcpStream;
 
-/// What the kernel has received and the process has not read.
+/// State of what the kernel has received on a socket and the process has not read.
 #[derive(Clone, Copy, PartialEq)]
 pub enum ReceiveQueue {
-    /// Nothing.
+    /// The queue is empty.
     Empty,
-    /// Some bytes.
+    /// The queue has bytes to read.
     Data,
-    /// The end of what the peer sends, with nothing before it.
+    /// The peer has closed its side, and all that it sent was read.
     EndOfStream,
     /// The connection has failed.
     Failed,
 }
 
 impl ReceiveQueue {
-    /// Asks the kernel.
+    /// Returns the current state of the stream's receive queue.
     pub fn of(stream: &TcpStream) -> ReceiveQueue {
         match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
             Ok(0) => ReceiveQueue::EndOfStream,
--- a/src/node/net/upstream_socket.rs
+++ b/src/node/net/upstream_socket.rs
@@ -1,4 +1,4 @@
-//! The socket of a connection to an endpoint, observed while hyper reads and writes it.
+//! The socket of a connection to an endpoint, which observes what hyper reads from it and writes to it.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -17,16 +17,17 @@
 /// connection's owner.
 pub struct UpstreamSocket {
     stream: RefCell<TcpStream>,
-    /// How many bytes have been written.
+    /// Number of bytes written.
     bytes_written: Cell<u64>,
-    /// Whether bytes have been read since this was last cleared.
+    /// Whether bytes were read since this was last cleared.
     has_received_data: Cell<bool>,
+    /// Notified when bytes were read.
     data_notify: Notify,
     _permit: ConnectionPermit,
 }
 
 impl UpstreamSocket {
-    /// Wraps a connected stream. The permit is released when the socket is closed.
+    /// Wraps a connected stream. The permit is released when the socket is dropped, which closes it.
     pub fn new(stream: TcpStream, permit: ConnectionPermit) -> UpstreamSocket {
         UpstreamSocket {
             stream: RefCell::new(stream),
@@ -37,12 +38,12 @@
         }
     }
 
-    /// How many bytes have been written to it.
+    /// Returns the number of bytes written to the socket.
     pub fn bytes_written(&self) -> u64 {
         self.bytes_written.get()
     }
 
-    /// Waits until bytes have been read from it since the last call.
+    /// Waits until bytes were read since the last call of this or of [`UpstreamSocket::clear_received`].
     pub async fn data_received(&self) {
         while !self.has_received_data.get() {
             self.data_notify.notified().await;
@@ -50,16 +51,17 @@
         self.has_received_data.set(false);
     }
 
-    /// Forgets that bytes have been read: they belonged to an earlier response.
+    /// Discards the record that bytes were read, because they belonged to an earlier response.
     pub fn clear_received(&self) {
         self.has_received_data.set(false);
     }
 
-    /// Whether the connection is open and the kernel has received nothing that is still to be read.
+    /// Returns whether the connection is open and the kernel has received nothing that is still to be read.
     pub fn is_receive_queue_empty(&self) -> bool {
         ReceiveQueue::of(&self.stream.borrow()) == ReceiveQueue::Empty
     }
 
+    /// Adds the bytes of a successful write to the count.
     fn count_written(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(bytes)) = &result {
             self.bytes_written.set(self.bytes_written.get() + *bytes as u64);
@@ -68,7 +70,7 @@
     }
 }
 
-/// hyper's handle of an [`UpstreamSocket`].
+/// Handle through which hyper reads from and writes to an [`UpstreamSocket`].
 pub struct UpstreamIo(pub Rc<UpstreamSocket>);
 
 impl AsyncRead for UpstreamIo {
--- a/tests/unit/connection_permits.rs
+++ b/tests/unit/connection_permits.rs
@@ -1,4 +1,4 @@
-//! Permits are limited, by a limit that may change and fall below those in use.
+//! Unit tests of connection permits, including a limit that falls below the number of permits in use.
 
 use std::future::Future;
 use std::pin::pin;
--- a/tests/unit/message_framer.rs
+++ b/tests/unit/message_framer.rs
@@ -1,4 +1,4 @@
-//! The framer finds the head of each request in whatever pieces it is read.
+//! Unit tests of the message framer: it finds the head of each request, in any division into reads.
 
 use super::*;
 
@@ -8,7 +8,7 @@
 fn finds_the_end_of_a_head_that_arrives_byte_by_byte() {
     let mut framer = MessageFramer::new();
     for (read, byte) in HEAD.iter().enumerate() {
-        // The two empty lines before the head do not count.
+        // The two empty lines before the head are not part of the request.
         assert_eq!(framer.has_started(), read > 4, "after {read} bytes");
         assert!(framer.may_have_content_length(), "after {read} bytes");
         framer.push(&[*byte]);
