--- a/src/node/body/pacing.rs
+++ b/src/node/body/pacing.rs
@@ -88,7 +88,8 @@
     /// new_deadline = max(deadline, min(deadline + bytes / rate, now + pause))
     /// ```
     ///
-    /// `rate` is [`MIN_UPLOAD_BYTES_PER_SECOND`] and `pause` is [`MAX_UPLOAD_PAUSE`].
+    /// `rate` is [`MIN_UPLOAD_BYTES_PER_SECOND`], `pause` is [`MAX_UPLOAD_PAUSE`], `now` is the time of the
+    /// reception, and `deadline` is the time before and `new_deadline` the time after the extension.
     fn extend_deadline(&mut self, bytes: usize) {
         let extension = Duration::from_secs_f64(bytes as f64 / MIN_UPLOAD_BYTES_PER_SECOND);
         self.progress_deadline = self
--- a/src/node/body/response.rs
+++ b/src/node/body/response.rs
@@ -51,7 +51,7 @@
 pub enum TransferEnd {
     /// The whole response was received.
     Complete,
-    /// The response was broken off, which the client can tell from its framing.
+    /// The response was broken off, and the client can tell.
     Broken,
     /// The client has disconnected.
     ClientDisconnected,
--- a/src/node/net/downstream_socket.rs
+++ b/src/node/net/downstream_socket.rs
@@ -24,7 +24,7 @@
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of bytes that are read from the client and discarded during that time.
 const MAX_LINGER_BYTES: usize = 32 << 20;
-/// Size of the buffer into which they are read, in bytes.
+/// Size of the buffer for these reads, in bytes.
 const LINGER_BUFFER_BYTES: usize = 16 << 10;
 /// Size of the kernel's send buffer that the node requests for a client's socket, in bytes. The kernel
 /// doubles it for its own bookkeeping.
@@ -60,8 +60,8 @@
     /// are unread. hyper does not notice that: it reads nothing more while it has bytes that nobody has
     /// polled for.
     pub async fn closed(&self) {
-        // HTTP/1.1 uses no priority data, so readiness for this interest means the end of the data that can
-        // be read.
+        // Priority data is not used, so readiness for this interest means the end of the data that can be
+        // read.
         while self.stream.ready(Interest::PRIORITY).await.is_ok_and(|ready| !ready.is_read_closed()) {}
     }
 
--- a/tests/node/large_bodies.rs
+++ b/tests/node/large_bodies.rs
@@ -179,7 +179,7 @@
         let node = Node::start(&[ready_endpoint("a", &upstream)]);
         let mut client = node.client();
         client.send(&view_request());
-        assert!(client.try_receive().is_none(), "it looks complete");
+        assert!(client.try_receive().is_none(), "the truncated response looks complete");
         assert_eq!(upstream.request_count(), 1, "a response that has begun is not retried");
     }
 }
