--- a/src/node/admin/listener.rs
+++ b/src/node/admin/listener.rs
@@ -18,7 +18,7 @@
 use super::commands::{CommandError, REQUEST_TIMEOUT, Route, read_body};
 use super::responses::{AdminResponse, error_response};
 use super::service::AdminService;
-use crate::config::MAX_ADMIN_CALLS;
+use crate::config::MAX_ADMIN_CONNECTIONS;
 use crate::net::DownstreamSocket;
 
 /// Maximum duration of a connection, including the time that the caller takes to read the response.
@@ -35,16 +35,16 @@
     task: AbortOnDropHandle<()>,
 }
 
-/// The open connections, oldest first. There are at most [`MAX_ADMIN_CALLS`], for which descriptors are
-/// reserved.
+/// The open connections, oldest first. There are at most [`MAX_ADMIN_CONNECTIONS`], for which descriptors
+/// are reserved.
 #[derive(Default)]
 struct AdminConnections(VecDeque<AdminConnection>);
 
 impl AdminConnections {
-    /// Adds a new connection. If there are [`MAX_ADMIN_CALLS`] already, closes one of them.
+    /// Adds a new connection. If there are [`MAX_ADMIN_CONNECTIONS`] already, closes one of them.
     fn insert(&mut self, stream: TcpStream, service: Rc<AdminService>) {
         self.0.retain(|connection| !connection.task.is_finished());
-        if self.0.len() >= MAX_ADMIN_CALLS {
+        if self.0.len() >= MAX_ADMIN_CONNECTIONS {
             self.evict_one();
         }
         let request_read = Rc::new(Cell::new(false));
--- a/src/node/config/error.rs
+++ b/src/node/config/error.rs
@@ -38,7 +38,7 @@
     Read(#[from] io::Error),
     /// It is no JSON, a field is missing or has the wrong type. The message names the field, line and column.
     #[error(transparent)]
-    Form(#[from] serde_json::Error),
+    Json(#[from] serde_json::Error),
     /// A field holds no address.
     #[error("{field}")]
     Address {
@@ -49,7 +49,7 @@
     },
     /// A value in `settings` has the wrong type or is none that the setting can have. The message names both.
     #[error(transparent)]
-    Setting(#[from] SettingsFormatError),
+    SettingsFormat(#[from] SettingsFormatError),
     /// The values in `settings` make no sense together.
     #[error(transparent)]
     Settings(#[from] SettingsError),
--- a/src/node/config/file.rs
+++ b/src/node/config/file.rs
@@ -61,7 +61,7 @@
 pub(super) struct Addresses {
     pub(super) listen: SocketAddr,
     pub(super) discovery: SocketAddr,
-    pub(super) operator: Option<SocketAddr>,
+    pub(super) admin: Option<SocketAddr>,
 }
 
 impl ConfigFile {
@@ -71,17 +71,17 @@
     }
 
     /// Parses the addresses.
-    pub(super) fn addresses(&self) -> Result<Addresses, FileError> {
-        let operator = self.operator.as_deref().map(|value| address_in("operator", value));
+    pub(super) fn parse_addresses(&self) -> Result<Addresses, FileError> {
+        let admin = self.operator.as_deref().map(|value| parse_address_field("operator", value));
         Ok(Addresses {
-            listen: address_in("listen", &self.listen)?,
-            discovery: address_in("discovery", &self.discovery)?,
-            operator: operator.transpose()?,
+            listen: parse_address_field("listen", &self.listen)?,
+            discovery: parse_address_field("discovery", &self.discovery)?,
+            admin: admin.transpose()?,
         })
     }
 }
 
-fn address_in(field: &'static str, value: &str) -> Result<SocketAddr, FileError> {
+fn parse_address_field(field: &'static str, value: &str) -> Result<SocketAddr, FileError> {
     parse_address(value).map_err(|source| FileError::Address { field, source })
 }
 
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -15,7 +15,7 @@
 pub use self::error::ConfigError;
 use self::error::FileError;
 use self::file::{ConfigFile, parse_address};
-pub use self::limits::{MAX_ADMIN_CALLS, ResourceLimits, max_buffered_bytes};
+pub use self::limits::{MAX_ADMIN_CONNECTIONS, ResourceLimits, max_buffered_bytes};
 use self::settings_object::SettingsObject;
 use crate::protocol::endpoint_list::EndpointList;
 
@@ -26,7 +26,7 @@
 /// After what idle time endpoints close a connection, where the settings do not say.
 const DEFAULT_KEEPALIVE: Duration = Duration::from_secs(5);
 /// The variable with the address of the admin API, where the file has none.
-const ADMIN_VARIABLE: &str = "GW_OPERATOR";
+const ADMIN_ADDRESS_VARIABLE: &str = "GW_OPERATOR";
 
 /// A class of requests, as its requests are recognised and limited.
 #[derive(Clone, Copy)]
@@ -84,14 +84,14 @@
         let in_file = |source| ConfigError::File { path: path.into(), source };
         let mut config = Config::read_file(path).map_err(in_file)?;
         if config.admin.is_none() {
-            config.admin = admin_from_environment()?;
+            config.admin = admin_address_from_environment()?;
         }
         Ok(config)
     }
 
     fn read_file(path: &str) -> Result<Config, FileError> {
         let file = ConfigFile::read(path)?;
-        let addresses = file.addresses()?;
+        let addresses = file.parse_addresses()?;
         let object = SettingsObject(&file.settings);
         let settings = parse_settings(object.to_lines().as_bytes())?;
         settings.check()?;
@@ -100,11 +100,11 @@
         Ok(Config {
             listen: addresses.listen,
             discovery: addresses.discovery,
-            admin: addresses.operator,
-            seed: seed(&file.seed, &file.name),
+            admin: addresses.admin,
+            seed: parse_or_generate_seed(&file.seed, &file.name),
             limits: ResourceLimits::new(file.limits.sockets, file.limits.memory_mb),
-            classes: object.names("services").into_iter().zip(rules).collect(),
-            tenants: object.names("parties").into_iter().zip(0..).collect(),
+            classes: object.object_names("services").into_iter().zip(rules).collect(),
+            tenants: object.object_names("parties").into_iter().zip(0..).collect(),
             zones: object.strings("zones"),
             machine_types: object.strings("skus"),
             connect_timeout: timeout("connect_timeout_us", DEFAULT_CONNECT_TIMEOUT),
@@ -121,14 +121,14 @@
     }
 }
 
-fn admin_from_environment() -> Result<Option<SocketAddr>, ConfigError> {
-    let Ok(value) = std::env::var(ADMIN_VARIABLE) else { return Ok(None) };
-    let in_environment = |source| ConfigError::Environment { variable: ADMIN_VARIABLE, source };
+fn admin_address_from_environment() -> Result<Option<SocketAddr>, ConfigError> {
+    let Ok(value) = std::env::var(ADMIN_ADDRESS_VARIABLE) else { return Ok(None) };
+    let in_environment = |source| ConfigError::Environment { variable: ADMIN_ADDRESS_VARIABLE, source };
     parse_address(&value).map(Some).map_err(in_environment)
 }
 
 /// The seed that the file has in hexadecimal. Without one, nodes and their starts still differ.
-fn seed(text: &str, name: &str) -> u64 {
+fn parse_or_generate_seed(text: &str, name: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         xxhash_rust::xxh3::xxh3_64_with_seed(name.as_bytes(), now.as_micros() as u64)
--- a/src/node/config/settings_object.rs
+++ b/src/node/config/settings_object.rs
@@ -16,14 +16,14 @@
     }
 
     /// The names of the objects in a list, in order.
-    pub(super) fn names(&self, list: &str) -> Vec<String> {
+    pub(super) fn object_names(&self, list: &str) -> Vec<String> {
         let items = self.0[list].as_array().map_or(&[][..], Vec::as_slice);
         items.iter().map(|item| item["name"].as_str().unwrap_or_default().to_string()).collect()
     }
 
     /// A list of strings.
     pub(super) fn strings(&self, key: &str) -> Vec<String> {
-        strings(&self.0[key])
+        to_strings(&self.0[key])
     }
 
     /// A duration in `allowed`, where it is in microseconds.
@@ -34,15 +34,15 @@
 }
 
 /// A list of strings; a single one stands for a list of one.
-fn strings(value: &Value) -> Vec<String> {
+fn to_strings(value: &Value) -> Vec<String> {
     match value {
-        Value::Array(items) => items.iter().map(scalar).collect(),
+        Value::Array(items) => items.iter().map(scalar_to_string).collect(),
         Value::Null => Vec::new(),
-        single => vec![scalar(single)],
+        single => vec![scalar_to_string(single)],
     }
 }
 
-fn scalar(value: &Value) -> String {
+fn scalar_to_string(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => String::new(),
@@ -68,10 +68,10 @@
         }
         Value::Null => {}
         Value::Array(_) => {
-            let items: Vec<String> = strings(value).iter().map(|item| without_separators(item)).collect();
+            let items: Vec<String> = to_strings(value).iter().map(|item| replace_separators(item)).collect();
             push_line(path, &items.join(","), lines);
         }
-        single => push_line(path, &without_separators(&scalar(single)), lines),
+        single => push_line(path, &replace_separators(&scalar_to_string(single)), lines),
     }
 }
 
@@ -80,6 +80,6 @@
 }
 
 /// A value without the characters that separate lines and items.
-fn without_separators(value: &str) -> String {
+fn replace_separators(value: &str) -> String {
     value.replace([' ', ',', '\n', '\r'], "_")
 }
--- a/src/node/startup/error.rs
+++ b/src/node/startup/error.rs
@@ -35,7 +35,7 @@
     Config(#[from] ConfigError),
     /// The listener that was passed on cannot be registered.
     #[error("cannot use the inherited listener")]
-    Adopt(#[source] io::Error),
+    RegisterListener(#[source] io::Error),
     /// An address cannot be listened on.
     #[error("{field} {address}")]
     Listen {
--- a/src/node/startup/listeners.rs
+++ b/src/node/startup/listeners.rs
@@ -22,7 +22,7 @@
         inherited: Option<std::net::TcpListener>,
     ) -> Result<Listeners, StartError> {
         let downstream = match inherited {
-            Some(listener) => TcpListener::from_std(listener).map_err(StartError::Adopt)?,
+            Some(listener) => TcpListener::from_std(listener).map_err(StartError::RegisterListener)?,
             None => bind("listen", config.listen).await?,
         };
         let admin = match config.admin {
--- a/src/node/startup/mod.rs
+++ b/src/node/startup/mod.rs
@@ -67,9 +67,9 @@
     if let Some(listener) = listeners.admin {
         node.start_admin(listener)?;
     }
-    let swept = node.downstream.clone();
-    spawn_local(async move { swept.run_idle_sweep().await });
-    Ok(node.accept(listeners.downstream))
+    let downstream = node.downstream.clone();
+    spawn_local(async move { downstream.run_idle_sweep().await });
+    Ok(node.start_accepting(listeners.downstream))
 }
 
 /// The parts that the start of the listeners needs.
@@ -98,11 +98,11 @@
         let balancer = Balancer::new(config.settings.clone(), config.seed)?;
         let engine = Engine::new(balancer, upstream.clone(), engine_handle.clone(), subscribe.clone());
         spawn_local(engine.run(events));
-        let swept = upstream.clone();
-        spawn_local(async move { swept.run_idle_sweep().await });
-        let (discovery_moved, discovery_address) = watch::channel(config.discovery);
-        spawn_local(reload::reload_on_sighup(path, hang_up, discovery_moved));
-        spawn_local(discovery::follow(config.clone(), discovery_address, engine_handle.clone(), subscribe));
+        let pool = upstream.clone();
+        spawn_local(async move { pool.run_idle_sweep().await });
+        let (address_sender, address_receiver) = watch::channel(config.discovery);
+        spawn_local(reload::reload_on_sighup(path, hang_up, address_sender));
+        spawn_local(discovery::follow(config.clone(), address_receiver, engine_handle.clone(), subscribe));
         let downstream = Rc::new(DownstreamServer::new(
             config.clone(),
             engine_handle.clone(),
@@ -122,28 +122,28 @@
         }
         let service = Rc::new(AdminService::new(store.clone(), self.lifecycle.clone(), self.engine.clone()));
         let (lifecycle, connections) = (self.lifecycle.clone(), self.downstream.clone());
-        let reconciled = service.clone();
+        let reconciler = service.clone();
         spawn_local(async move {
             let hot_restart = HotRestart::register(store, lifecycle, connections).await;
-            hot_restart.run(move || reconciled.reconcile()).await;
+            hot_restart.run(move || reconciler.reconcile()).await;
         });
-        let drained = self.downstream.clone();
-        spawn_local(async move { drained.run_standby_drain().await });
+        let downstream = self.downstream.clone();
+        spawn_local(async move { downstream.run_standby_drain().await });
         spawn_local(admin::listen(listener, service));
         Ok(())
     }
 
     /// Starts accepting clients' connections.
-    fn accept(self, listener: TcpListener) -> GracefulShutdown<DownstreamServer> {
+    fn start_accepting(self, listener: TcpListener) -> GracefulShutdown<DownstreamServer> {
         let stop_accepting = Rc::new(Notify::new());
-        let stopped = stop_accepting.clone();
+        let stop_signal = stop_accepting.clone();
         let (lifecycle, downstream) = (self.lifecycle.clone(), self.downstream.clone());
         let accept_task = spawn_local(async move {
             // Clients that this process could not serve yet are left to the other one.
             while self.shares_listener && !lifecycle.is_ready() {
                 sleep(READY_POLL_INTERVAL).await;
             }
-            downstream.accept(listener, stopped).await;
+            downstream.accept(listener, stop_signal).await;
         });
         GracefulShutdown {
             lifecycle: self.lifecycle,
--- a/src/simulator/decode.rs
+++ b/src/simulator/decode.rs
@@ -43,30 +43,30 @@
 
 impl Decoder {
     /// Decodes a batch: all of a frame after its length.
-    pub fn batch(&mut self, frame: &[u8]) -> Result<Batch, WireError> {
+    pub fn decode_batch(&mut self, frame: &[u8]) -> Result<Batch, WireError> {
         let mut fields = FieldReader(frame);
         let now = fields.timestamp("clock")?;
         let number = fields.u32("batch number")?;
         let mut records = Vec::new();
         while !fields.is_empty() {
-            records.extend(self.record(&mut fields)?);
+            records.extend(self.decode_record(&mut fields)?);
         }
         Ok(Batch { now, number, records })
     }
 
     /// Decodes one record; none for those that carry nothing that a balancer acts on.
-    fn record(&mut self, fields: &mut FieldReader<'_>) -> Result<Option<Record>, WireError> {
+    fn decode_record(&mut self, fields: &mut FieldReader<'_>) -> Result<Option<Record>, WireError> {
         let event = match fields.u16("record code")? {
-            code::LAUNCH => return launch(fields).map(Some),
+            code::LAUNCH => return decode_launch(fields).map(Some),
             code::INSTANCE => return Ok(Some(Record::Node(fields.u16("Instance.node")?))),
             code::CRASH_NOW => return Ok(Some(Record::Crash)),
-            code::CATALOG => return self.catalog(fields).map(|()| None),
+            code::CATALOG => return self.store_list(fields).map(|()| None),
             code::PING_RESULT => return skip_ping_result(fields).map(|()| None),
             code::PEER => return skip_peer(fields).map(|()| None),
-            code::DISCOVERY => self.discovery(fields)?,
-            code::INCOMING => incoming(fields)?,
-            code::STARTED => started(fields)?,
-            code::COMPLETED => completed(fields)?,
+            code::DISCOVERY => self.decode_discovery(fields)?,
+            code::INCOMING => decode_incoming(fields)?,
+            code::STARTED => decode_started(fields)?,
+            code::COMPLETED => decode_completed(fields)?,
             code::VANISHED => Event::ClientDisconnected(fields.u64("Vanished.ref")?),
             code::WAKEUP => Event::TimerFired(fields.u64("Wakeup.nonce")?.into()),
             code => return Err(WireError::UnknownCode { field: "record code", code }),
@@ -75,15 +75,15 @@
     }
 
     /// A new list under its number.
-    fn catalog(&mut self, fields: &mut FieldReader<'_>) -> Result<(), WireError> {
+    fn store_list(&mut self, fields: &mut FieldReader<'_>) -> Result<(), WireError> {
         let number = usize::from(fields.u8("Catalog.set_id")?);
-        let list = endpoint_list(fields)?;
+        let list = decode_endpoint_list(fields)?;
         let bound = self.lists.len();
-        *self.lists.get_mut(number).ok_or(WireError::ListNumber { number, bound })? = list;
+        *self.lists.get_mut(number).ok_or(WireError::ListNumberOutOfRange { number, bound })? = list;
         Ok(())
     }
 
-    fn discovery(&self, fields: &mut FieldReader<'_>) -> Result<Event, WireError> {
+    fn decode_discovery(&self, fields: &mut FieldReader<'_>) -> Result<Event, WireError> {
         let kind = fields.u8("Discovery.how")?;
         let _version = fields.u64("Discovery.stamp")?;
         let number = usize::from(fields.u8("Discovery.set_id")?);
@@ -91,7 +91,8 @@
             return Ok(Event::DiscoveryFailed);
         }
         let bound = self.lists.len();
-        let list = self.lists.get(number).cloned().ok_or(WireError::ListNumber { number, bound })?;
+        let list =
+            self.lists.get(number).cloned().ok_or(WireError::ListNumberOutOfRange { number, bound })?;
         match kind {
             discovery::DELTA => Ok(Event::EndpointDelta(list)),
             discovery::FULL => Ok(Event::EndpointSnapshot(list)),
@@ -101,14 +102,14 @@
     }
 }
 
-fn launch(fields: &mut FieldReader<'_>) -> Result<Record, WireError> {
+fn decode_launch(fields: &mut FieldReader<'_>) -> Result<Record, WireError> {
     let seed = fields.u64("Launch.init_seed")?;
     let length = fields.u32("Launch.options length")? as usize;
     let settings = parse_settings(fields.bytes("Launch.options", length)?)?;
     Ok(Record::Launch(seed, Box::new(settings)))
 }
 
-fn incoming(fields: &mut FieldReader<'_>) -> Result<Event, WireError> {
+fn decode_incoming(fields: &mut FieldReader<'_>) -> Result<Event, WireError> {
     let id = fields.u64("Incoming.ref")?;
     let class = usize::from(fields.u8("Incoming.lane")?);
     let remaining = fields.duration("Incoming.remaining_us")?;
@@ -126,7 +127,7 @@
     }))
 }
 
-fn started(fields: &mut FieldReader<'_>) -> Result<Event, WireError> {
+fn decode_started(fields: &mut FieldReader<'_>) -> Result<Event, WireError> {
     let request = fields.u64("Started.ref")?;
     let _endpoint = fields.endpoint("Started.server")?;
     let attempt = fields.u16("Started.leg")?;
@@ -134,11 +135,11 @@
     Ok(Event::ResponseStarted(request, attempt))
 }
 
-fn completed(fields: &mut FieldReader<'_>) -> Result<Event, WireError> {
+fn decode_completed(fields: &mut FieldReader<'_>) -> Result<Event, WireError> {
     let request = fields.u64("Completed.ref")?;
     let attempt = fields.u16("Completed.leg")?;
     let request_finished = fields.u8("Completed.ended")? != 0;
-    let outcome = outcome(fields.u8("Completed.status")?)?;
+    let outcome = decode_outcome(fields.u8("Completed.status")?)?;
     let elapsed = fields.duration("Completed.wait_time_us")?;
     let _endpoint = fields.endpoint("Completed.server")?;
     fields.skip_load_report("Completed.feedback")?;
@@ -160,29 +161,29 @@
     fields.bytes("Peer.blob", length).map(drop)
 }
 
-fn endpoint_list(fields: &mut FieldReader<'_>) -> Result<Vec<EndpointInfo>, WireError> {
+fn decode_endpoint_list(fields: &mut FieldReader<'_>) -> Result<Vec<EndpointInfo>, WireError> {
     let count = fields.u32("Catalog.records count")? as usize;
     let length = count.checked_mul(ENTRY_BYTES).ok_or(WireError::ListTooLong { count })?;
     let mut entries = FieldReader(fields.bytes("Catalog.records", length)?);
     let mut list = Vec::with_capacity(count);
     while !entries.is_empty() {
-        list.push(list_entry(&mut entries)?);
+        list.push(decode_list_entry(&mut entries)?);
     }
     Ok(list)
 }
 
-fn list_entry(fields: &mut FieldReader<'_>) -> Result<EndpointInfo, WireError> {
-    let state = endpoint_state(fields.u8("stage_state")?)?;
+fn decode_list_entry(fields: &mut FieldReader<'_>) -> Result<EndpointInfo, WireError> {
+    let state = decode_endpoint_state(fields.u8("stage_state")?)?;
     let started_at = fields.timestamp("ready_at_us")?;
     let zone = fields.u8("hall")?;
     let id = fields.endpoint("server")?;
     let cell = Some(fields.u16("cell")?);
-    let weight = endpoint_weight(fields.f32("nominal")?);
+    let weight = decode_endpoint_weight(fields.f32("nominal")?);
     let machine_type = fields.u8("shape")?;
     Ok(EndpointInfo { id, state, started_at, zone, cell, weight, machine_type })
 }
 
-fn endpoint_state(code: u8) -> Result<EndpointState, WireError> {
+fn decode_endpoint_state(code: u8) -> Result<EndpointState, WireError> {
     match code {
         stage_state::GONE => Ok(EndpointState::Gone),
         stage_state::DRAINING => Ok(EndpointState::Draining),
@@ -193,14 +194,14 @@
 
 /// A weight that is infinite or not a number counts as unknown (zero), lest it spoils averages over
 /// endpoints.
-fn endpoint_weight(nominal: f32) -> f64 {
+fn decode_endpoint_weight(nominal: f32) -> f64 {
     match nominal.is_finite() {
         true => f64::from(nominal.max(0.0)),
         false => 0.0,
     }
 }
 
-fn outcome(code: u8) -> Result<Outcome, WireError> {
+fn decode_outcome(code: u8) -> Result<Outcome, WireError> {
     match code {
         status::OK => Ok(Outcome::Served),
         status::ERROR => Ok(Outcome::Error),
@@ -224,7 +225,7 @@
 
     fn bytes(&mut self, field: &'static str, length: usize) -> Result<&'a [u8], WireError> {
         let Some((head, rest)) = self.0.split_at_checked(length) else {
-            return Err(WireError::TruncatedField { field, announced: length, left: self.0.len() });
+            return Err(WireError::TruncatedField { field, needed: length, remaining: self.0.len() });
         };
         self.0 = rest;
         Ok(head)
--- a/src/simulator/encode.rs
+++ b/src/simulator/encode.rs
@@ -12,7 +12,7 @@
     /// The records, without the frame's header.
     records: Vec<u8>,
     /// The instance whose actions come last.
-    current: Option<u16>,
+    current_node: Option<u16>,
 }
 
 impl Reply {
@@ -20,48 +20,48 @@
     pub fn clear(&mut self) {
         self.record_count = 0;
         self.records.clear();
-        self.current = None;
+        self.current_node = None;
     }
 
     /// Adds an action of an instance.
-    pub fn push(&mut self, instance: u16, action: Action) {
-        if self.current != Some(instance) {
-            self.current = Some(instance);
-            self.record(code::FROM).u16(instance);
+    pub fn push(&mut self, node: u16, action: Action) {
+        if self.current_node != Some(node) {
+            self.current_node = Some(node);
+            self.begin_record(code::FROM).u16(node);
         }
         match action {
             // On the wire an attempt counts as sent at once, however late its connection is established.
             Action::Send { request, endpoint, begin_by: _ } => self.route(request, endpoint),
             Action::Reject { request, retry_after } => self.deny(request, retry_after),
             Action::Fail(request) => {
-                self.record(code::ERROR).u64(request);
+                self.begin_record(code::ERROR).u64(request);
             }
             Action::Cancel(request, attempt) => self.revoke(request, attempt),
             Action::SetTimer { after, token } => self.schedule(after, token.into()),
             Action::Subscribe => {
-                self.record(code::OBSERVE).u8(OBSERVE_ACTIVE);
+                self.begin_record(code::OBSERVE).u8(OBSERVE_ACTIVE);
             }
         }
     }
 
     fn route(&mut self, request: RequestId, endpoint: EndpointId) {
-        self.record(code::ROUTE).u64(request).endpoint(endpoint).u32(NO_TIMEOUT);
+        self.begin_record(code::ROUTE).u64(request).endpoint(endpoint).u32(NO_TIMEOUT);
     }
 
     fn deny(&mut self, request: RequestId, retry_after: Duration) {
-        self.record(code::DENY).u64(request).duration(retry_after);
+        self.begin_record(code::DENY).u64(request).duration(retry_after);
     }
 
     fn revoke(&mut self, request: RequestId, attempt: AttemptNumber) {
-        self.record(code::REVOKE).u64(request).u16(attempt);
+        self.begin_record(code::REVOKE).u64(request).u16(attempt);
     }
 
     fn schedule(&mut self, after: Duration, token: u64) {
-        self.record(code::SCHEDULE).duration(after).u64(token);
+        self.begin_record(code::SCHEDULE).duration(after).u64(token);
     }
 
     /// Begins a record of this code; its fields follow.
-    fn record(&mut self, code: u16) -> FieldWriter<'_> {
+    fn begin_record(&mut self, code: u16) -> FieldWriter<'_> {
         self.record_count += 1;
         let mut fields = FieldWriter(&mut self.records);
         fields.u16(code);
@@ -69,7 +69,7 @@
     }
 
     /// The frame of the reply to the batch of this number.
-    pub fn frame(&self, batch: u32) -> Vec<u8> {
+    pub fn to_frame(&self, batch: u32) -> Vec<u8> {
         const BATCH_BYTES: u32 = 4;
         const HEADER_BYTES: usize = 12;
         let mut frame = Vec::with_capacity(HEADER_BYTES + self.records.len());
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -25,14 +25,14 @@
         announced: u64,
     },
     /// A field is longer than what is left of its frame.
-    #[error("malformed input: {field}: {announced} bytes announced, {left} left in the frame")]
+    #[error("malformed input: {field}: {needed} bytes announced, {remaining} left in the frame")]
     TruncatedField {
         /// The field, with the name of the wire's page.
         field: &'static str,
         /// How many bytes the field has, by its type or its count.
-        announced: usize,
+        needed: usize,
         /// How many bytes the frame still has.
-        left: usize,
+        remaining: usize,
     },
     /// A field holds a code that the wire does not have.
     #[error("malformed input: unknown {field} {code}")]
@@ -44,7 +44,7 @@
     },
     /// The number of an endpoint list is out of bounds.
     #[error("malformed input: endpoint list number {number} is not below {bound}")]
-    ListNumber {
+    ListNumberOutOfRange {
         /// The number.
         number: usize,
         /// How many lists there are.
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -20,8 +20,8 @@
     Ok(())
 }
 
-/// A running instance.
-struct Instance {
+/// A running node.
+struct Node {
     balancer: Balancer,
     /// Whether the site has tenants: without any, the tenant of a request has no meaning.
     has_tenants: bool,
@@ -31,7 +31,7 @@
 #[derive(Default)]
 pub struct Host {
     decoder: Decoder,
-    instances: BTreeMap<u16, Instance>,
+    nodes: BTreeMap<u16, Node>,
     reply: Reply,
     /// The actions of the event at hand; empty between events.
     actions: Vec<Action>,
@@ -40,36 +40,36 @@
 impl Host {
     /// Carries out a batch (all of a frame after its length); its reply as a frame.
     pub fn handle_batch(&mut self, frame: &[u8]) -> Result<Vec<u8>, HostError> {
-        let batch = self.decoder.batch(frame)?;
+        let batch = self.decoder.decode_batch(frame)?;
         self.reply.clear();
-        let mut current = 0;
+        let mut current_node = 0;
         for record in batch.records {
             match record {
-                Record::Node(number) => current = number,
-                Record::Launch(seed, settings) => self.launch(current, seed, *settings)?,
-                Record::Crash => drop(self.instances.remove(&current)),
-                Record::Event(event) => self.handle_event(current, batch.now, event),
+                Record::Node(number) => current_node = number,
+                Record::Launch(seed, settings) => self.launch(current_node, seed, *settings)?,
+                Record::Crash => drop(self.nodes.remove(&current_node)),
+                Record::Event(event) => self.handle_event(current_node, batch.now, event),
             }
         }
-        Ok(self.reply.frame(batch.number))
+        Ok(self.reply.to_frame(batch.number))
     }
 
     fn launch(&mut self, number: u16, seed: u64, settings: Settings) -> Result<(), HostError> {
         let has_tenants = !settings.tenants.is_empty();
         let balancer = Balancer::new(settings, seed)?;
-        self.instances.insert(number, Instance { balancer, has_tenants });
+        self.nodes.insert(number, Node { balancer, has_tenants });
         Ok(())
     }
 
     /// Passes an event to its instance, if that runs, and its actions to the reply.
     fn handle_event(&mut self, number: u16, now: Timestamp, mut event: Event) {
-        let Some(instance) = self.instances.get_mut(&number) else {
+        let Some(node) = self.nodes.get_mut(&number) else {
             return;
         };
         if let Event::RequestArrived(request) = &mut event {
-            request.tenant = request.tenant.filter(|_| instance.has_tenants);
+            request.tenant = request.tenant.filter(|_| node.has_tenants);
         }
-        instance.balancer.handle(now, event, &mut self.actions);
+        node.balancer.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
             self.reply.push(number, action);
         }
--- a/tests/simulator/decoding.rs
+++ b/tests/simulator/decoding.rs
@@ -11,12 +11,12 @@
 /// Decodes records behind a header of clock 7 and number 9.
 fn records(decoder: &mut Decoder, text: &str) -> Vec<Record> {
     let frame = [hex("0700000000000000 09000000"), hex(text)].concat();
-    decoder.batch(&frame).unwrap().records
+    decoder.decode_batch(&frame).unwrap().records
 }
 
 #[test]
 fn decodes_an_empty_batch() {
-    let batch = Decoder::default().batch(&hex("5a5c800000000000 01000000")).unwrap();
+    let batch = Decoder::default().decode_batch(&hex("5a5c800000000000 01000000")).unwrap();
     assert_eq!(batch, Batch { now: Timestamp::from_micros(0x80_5c5a), number: 1, records: vec![] });
 }
 
@@ -136,18 +136,18 @@
 /// What is wrong with these records behind a valid header.
 fn error(text: &str) -> WireError {
     let frame = [hex("0700000000000000 09000000"), hex(text)].concat();
-    Decoder::default().batch(&frame).unwrap_err()
+    Decoder::default().decode_batch(&frame).unwrap_err()
 }
 
 #[test]
 fn errors_name_the_field_and_its_value() {
-    let truncated = WireError::TruncatedField { field: "Vanished.ref", announced: 8, left: 3 };
+    let truncated = WireError::TruncatedField { field: "Vanished.ref", needed: 8, remaining: 3 };
     let cases = [
         ("0600 010203", truncated),
         ("6300", WireError::UnknownCode { field: "record code", code: 99 }),
         ("0200 07 0000000000000000 00", WireError::UnknownCode { field: "kind of endpoint list", code: 7 }),
-        ("0200 00 0000000000000000 10", WireError::ListNumber { number: 16, bound: 16 }),
-        ("0b00 10 00000000", WireError::ListNumber { number: 16, bound: 16 }),
+        ("0200 00 0000000000000000 10", WireError::ListNumberOutOfRange { number: 16, bound: 16 }),
+        ("0b00 10 00000000", WireError::ListNumberOutOfRange { number: 16, bound: 16 }),
     ];
     for (text, expected) in cases {
         assert_eq!(error(text), expected, "{text}");
--- a/tests/simulator/encoding.rs
+++ b/tests/simulator/encoding.rs
@@ -26,5 +26,5 @@
     frame.extend((body.len() as u32 + 4).to_le_bytes());
     frame.extend(hex("0c000000"));
     frame.extend(body);
-    assert_eq!(reply.frame(12), frame);
+    assert_eq!(reply.to_frame(12), frame);
 }
