--- a/src/node/config/error.rs
+++ b/src/node/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration can't be used. Each message leaves out that of its source: [`ErrorChain`] writes both.
+//! Errors in the configuration. No message repeats that of its source: [`ErrorChain`] displays both.
 //!
 //! [`ErrorChain`]: crate::log::ErrorChain
 
@@ -9,58 +9,60 @@
 use mothspool::settings_format::SettingsFormatError;
 use thiserror::Error;
 
-/// A configuration that can't be used.
+/// An error in the configuration.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The fault is in the file.
+    /// The configuration file is invalid or cannot be read.
     #[error("{path}")]
     File {
-        /// The path of the file.
+        /// Path of the file.
         path: String,
-        /// What is wrong with it.
+        /// The cause.
         source: FileError,
     },
-    /// The fault is in the environment.
+    /// An environment variable is invalid.
     #[error("{variable}")]
     Environment {
-        /// The name of the variable.
+        /// Name of the variable.
         variable: &'static str,
-        /// What is wrong with it.
+        /// The cause.
         source: AddressError,
     },
 }
 
-/// What is wrong with a configuration file.
+/// An error in the configuration file.
 #[derive(Debug, Error)]
 pub enum FileError {
-    /// It can't be read.
-    #[error("the file cannot be read")]
+    /// The file cannot be read.
+    #[error("cannot read the configuration file")]
     Read(#[from] io::Error),
-    /// It is no JSON, a field is missing or has the wrong type. The message names the field, line and column.
+    /// The file is not JSON, or a field is missing or has the wrong type. The source names the field, line
+    /// and column.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A field holds no address.
+    /// The value of a field is not an address.
     #[error("{field}")]
     Address {
-        /// The name of the field.
+        /// Name of the field.
         field: &'static str,
-        /// What is wrong with it.
+        /// The cause.
         source: AddressError,
     },
-    /// A value in `settings` has the wrong type or is none that the setting can have. The message names both.
+    /// A value in `settings` has the wrong type, or is none of the values that its setting allows. The source
+    /// names the setting and the value.
     #[error(transparent)]
     SettingsFormat(#[from] SettingsFormatError),
-    /// The values in `settings` make no sense together.
+    /// A value in `settings` is out of range or inconsistent with the others.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// A text that is no address with a port.
+/// A text that is not an IP address with a port.
 #[derive(Debug, Error)]
 #[error("{value:?} is not an IP address with a port")]
 pub struct AddressError {
     /// The text.
     pub value: String,
-    /// What the parser says.
+    /// The error of the parser.
     pub source: AddrParseError,
 }
--- a/src/node/config/file.rs
+++ b/src/node/config/file.rs
@@ -1,4 +1,4 @@
-//! The form of the configuration file.
+//! The fields of the configuration file, which is JSON.
 
 use std::net::SocketAddr;
 
@@ -8,56 +8,56 @@
 use super::error::{AddressError, FileError};
 use crate::protocol::endpoint_list::EndpointList;
 
-/// Names the fields in errors.
+/// Deserializers that add the name of the field to errors.
 mod field {
     crate::protocol::named_field::named_fields!(
         name, listen, discovery, operator, seed, limits, known, settings, sockets, memory_mb
     );
 }
 
-/// The configuration file, as it is written.
+/// Contents of the configuration file.
 #[derive(Deserialize)]
 #[serde(expecting = "a configuration")]
 pub(super) struct ConfigFile {
-    /// The node's name.
+    /// Name of the node.
     #[serde(deserialize_with = "field::name")]
     pub(super) name: String,
-    /// The address for clients.
+    /// Address on which the node accepts connections from clients.
     #[serde(deserialize_with = "field::listen")]
     listen: String,
-    /// The address of discovery.
+    /// Address of discovery.
     #[serde(deserialize_with = "field::discovery")]
     discovery: String,
-    /// The address of the admin API, if the node has one.
+    /// Address of the admin API, if the file has one.
     #[serde(default, deserialize_with = "field::operator")]
     operator: Option<String>,
-    /// A hexadecimal number; anything else stands for a random one.
+    /// Seed of random numbers, in hexadecimal. If it is absent or not hexadecimal, the node generates a seed.
     #[serde(default, deserialize_with = "field::seed")]
     pub(super) seed: String,
-    /// What the node may use of its machine.
+    /// Descriptors and memory that the node may use.
     #[serde(default, deserialize_with = "field::limits")]
     pub(super) limits: MachineLimits,
-    /// The endpoint list as it was last known.
+    /// Last known endpoint list.
     #[serde(default, deserialize_with = "field::known")]
     pub(super) known: EndpointList,
-    /// The settings of the deployment, nested.
+    /// Settings of the balancer and of connections, as a nested object.
     #[serde(deserialize_with = "field::settings")]
     pub(super) settings: Value,
 }
 
-/// What the node may use of its machine.
+/// Descriptors and memory that the node may use.
 #[derive(Default, Deserialize)]
 #[serde(default, expecting = "limits")]
 pub(super) struct MachineLimits {
-    /// Descriptors.
+    /// Number of descriptors, if the file limits them.
     #[serde(deserialize_with = "field::sockets")]
     pub(super) sockets: Option<usize>,
-    /// Memory in MiB.
+    /// Memory in MiB, if the file limits it.
     #[serde(deserialize_with = "field::memory_mb")]
     pub(super) memory_mb: Option<usize>,
 }
 
-/// The addresses in the file.
+/// Parsed addresses of the configuration file.
 pub(super) struct Addresses {
     pub(super) listen: SocketAddr,
     pub(super) discovery: SocketAddr,
@@ -70,7 +70,7 @@
         Ok(serde_json::from_slice(&std::fs::read(path)?)?)
     }
 
-    /// Parses the addresses.
+    /// Parses the fields that contain addresses.
     pub(super) fn parse_addresses(&self) -> Result<Addresses, FileError> {
         let admin = self.operator.as_deref().map(|value| parse_address_field("operator", value));
         Ok(Addresses {
--- a/src/node/config/limits.rs
+++ b/src/node/config/limits.rs
@@ -1,55 +1,54 @@
-//! How the descriptors and the memory of the node are divided.
+//! Division of the node's descriptors and memory among connections, buffered bodies and the rest.
 
 use std::ops::RangeInclusive;
 
-/// The most calls of the admin API at once; descriptors are set aside for them.
+/// Maximum number of open connections to the admin API. Descriptors are reserved for them.
 pub const MAX_ADMIN_CONNECTIONS: usize = 12;
-/// Descriptors for all but connections with clients and endpoints: standard streams, epoll, wake-ups,
-/// signals, the listeners, discovery, the state store's files, and the admin API.
+/// Descriptors reserved for everything but connections with clients and endpoints: standard streams, epoll,
+/// wake-ups, signals, the listeners, discovery, the files of the state store, and the admin API.
 const RESERVED_DESCRIPTORS: usize = 16 + MAX_ADMIN_CONNECTIONS;
-/// The fewest connections that a process makes do with, however few descriptors it has.
+/// Minimum of the connection limit. It applies even if there are fewer descriptors or less memory.
 const MIN_CONNECTIONS: usize = 8;
 
-/// Bodies that are buffered completely may take one part in this many of the memory.
+/// Bodies that are buffered completely may use at most the memory divided by this number.
 const BUFFERED_BODIES_DIVISOR: usize = 8;
-/// The buffers of connections would take one part in this many of the memory if each descriptor were a
-/// connection.
+/// Buffers of connections would use the memory divided by this number if each descriptor were a connection.
 const CONNECTION_BUFFERS_DIVISOR: usize = 4;
-/// What a connection may buffer in each direction, in bytes: the least that hyper takes, and the most that is
-/// of use.
+/// Smallest and largest size of a connection's buffer for one direction. hyper accepts no smaller buffer, and
+/// a larger one is of no use.
 const CONNECTION_BUFFER_BYTES: RangeInclusive<usize> = 8 << 10..=32 << 10;
-/// What a connection takes beside its buffers, in bytes: hyper's buffers for heads and for requests on their
-/// way to it, and the tasks that serve it. Measured with 923 connections of uploads: 30 KB each where they
-/// buffer 8 KiB.
+/// Memory of a connection in addition to its buffers: hyper's buffers for heads and for requests on their way
+/// to it, and the tasks that serve the connection.
 const CONNECTION_OVERHEAD_BYTES: usize = 20 << 10;
-/// What the program takes for itself, in bytes, endpoint lists of some hundred entries included.
+/// Memory of the program itself, including endpoint lists of several hundred entries.
 const PROGRAM_MEMORY_BYTES: usize = 5 << 20;
 
-/// The descriptors that a node may use, where the configuration does not say.
+/// Number of descriptors that a node may use if the configuration has no `limits.sockets`.
 const DEFAULT_DESCRIPTORS: usize = 1024;
-/// The memory that a node may use in MiB, where the configuration does not say.
+/// Memory that a node may use if the configuration has no `limits.memory_mb`.
 const DEFAULT_MEMORY_MIB: usize = 32;
 
-/// How many of `memory` bytes may go into bodies that are buffered completely.
+/// Returns the number of bytes, out of `memory` bytes, for bodies that are buffered completely.
 pub fn max_buffered_bytes(memory: usize) -> usize {
     memory / BUFFERED_BODIES_DIVISOR
 }
 
-/// How the node's descriptors and memory are divided.
+/// Limits that follow from the descriptors and the memory of the node.
 pub struct ResourceLimits {
-    /// The most connections with clients and endpoints together.
+    /// Maximum number of connections with clients and endpoints together.
     pub max_connections: usize,
-    /// The same while two processes of the node run in a hot restart, for each of them: both have reserved
-    /// descriptors and the program's own memory.
+    /// Maximum number of connections for each of the two processes during a hot restart. Each process needs
+    /// the reserved descriptors and the memory of the program itself.
     pub max_connections_shared: usize,
-    /// The memory that the node may use, in bytes.
+    /// Memory that the node may use, in bytes.
     pub memory: usize,
-    /// How many bytes a connection may buffer in each direction; it bounds the head of a message too.
+    /// Maximum number of bytes that a connection buffers in each direction, which also limits the head of a
+    /// message.
     pub connection_buffer: usize,
 }
 
 impl ResourceLimits {
-    /// Divides `descriptors` and `memory_mib` MiB of memory.
+    /// Calculates the limits for this number of descriptors and this memory, or for the defaults.
     pub(super) fn new(descriptors: Option<usize>, memory_mib: Option<usize>) -> ResourceLimits {
         let descriptors = descriptors.unwrap_or(DEFAULT_DESCRIPTORS);
         let memory = memory_mib.unwrap_or(DEFAULT_MEMORY_MIB).max(1) << 20;
@@ -65,9 +64,10 @@
     }
 }
 
-/// For how many connections each of `processes` has descriptors and memory.
+/// Returns the maximum number of connections for each of `processes` processes that share the descriptors and
+/// the memory.
 fn max_connections(descriptors: usize, memory: usize, connection_buffer: usize, processes: usize) -> usize {
-    // A streaming body is in three buffers, but has two connections.
+    // A streaming body occupies three buffers on two connections.
     let connection_memory = CONNECTION_OVERHEAD_BYTES + connection_buffer * 3 / 2;
     let available_memory =
         (memory / processes).saturating_sub(max_buffered_bytes(memory) + PROGRAM_MEMORY_BYTES);
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration: the file that `GW_CONFIG` names, and the settings in it.
+//! The configuration of the node: the file at the path in `GW_CONFIG`, with the settings in it.
 
 mod error;
 mod file;
@@ -19,23 +19,24 @@
 use self::settings_object::SettingsObject;
 use crate::protocol::endpoint_list::EndpointList;
 
-/// No deadline of a request is longer, whatever the settings or a client say.
+/// Maximum deadline of a request. A longer one in the settings is shortened to this; one from a client is
+/// invalid.
 pub const MAX_DEADLINE: Duration = Duration::from_secs(3600);
-/// How long a connection to an endpoint may take to come up, where the settings do not say.
+/// Timeout for connecting to an endpoint if the settings have no `allowed.connect_timeout_us`.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// After what idle time endpoints close a connection, where the settings do not say.
+/// Idle time after which endpoints close a connection if the settings have no `allowed.keepalive_us`.
 const DEFAULT_KEEPALIVE: Duration = Duration::from_secs(5);
-/// The variable with the address of the admin API, where the file has none.
+/// Environment variable with the address of the admin API, read if the file has none.
 const ADMIN_ADDRESS_VARIABLE: &str = "GW_OPERATOR";
 
-/// A class of requests, as its requests are recognised and limited.
+/// Properties of a request class that the node needs to validate and limit requests.
 #[derive(Clone, Copy)]
 pub struct ClassRule {
-    /// Its index in [`Settings::classes`].
+    /// Index of the class in [`Settings::classes`].
     pub index: usize,
-    /// Whether its requests may be retried.
+    /// Idempotency of its requests, which decides whether they may be retried.
     pub idempotency: Idempotency,
-    /// The longest that a client waits for a response; at most [`MAX_DEADLINE`].
+    /// Maximum time that a client waits for a response. It is at most [`MAX_DEADLINE`].
     pub deadline: Duration,
 }
 
@@ -46,40 +47,41 @@
     }
 }
 
-/// The node's configuration.
+/// The configuration of a node.
 pub struct Config {
-    /// The node's name, for its log and its state store.
+    /// Name of the node, used in the log and by the state store.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which the node accepts connections from clients.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where the admin API listens, if the node has one.
+    /// Address of the admin API, if the node has one.
     pub admin: Option<SocketAddr>,
-    /// The seed of random numbers; a new one with each start, unless the file has one.
+    /// Seed of random numbers. Each start generates a new one unless the file has one.
     pub seed: u64,
-    /// How descriptors and memory are divided.
+    /// Limits on connections and memory.
     pub limits: ResourceLimits,
-    /// The endpoint list as it was last known; it may be out of date.
+    /// Last known endpoint list, which may be out of date.
     pub cached_list: EndpointList,
-    /// The settings of the balancer.
+    /// Settings of the balancer.
     pub settings: Settings,
-    /// The request classes by name.
+    /// Request classes by name.
     pub classes: HashMap<String, ClassRule>,
-    /// The tenants' indices in [`Settings::tenants`] by name.
+    /// Indices of the tenants in [`Settings::tenants`], by name.
     pub tenants: HashMap<String, u32>,
-    /// The names of zones, in the settings' order.
+    /// Names of the zones, in the order of the settings.
     pub zones: Vec<String>,
-    /// The names of machine types, in the settings' order.
+    /// Names of the machine types, in the order of the settings.
     pub machine_types: Vec<String>,
-    /// A connection to an endpoint that is not up after this has failed.
+    /// Timeout for connecting to an endpoint.
     pub connect_timeout: Duration,
-    /// Endpoints close a connection that has been idle for this long.
+    /// Idle time after which endpoints close a connection.
     pub keepalive: Duration,
 }
 
 impl Config {
-    /// Reads the file at `path`.
+    /// Reads and checks the configuration file at `path`. If it has no address of the admin API, uses the one
+    /// in `GW_OPERATOR`.
     pub fn read(path: &str) -> Result<Config, ConfigError> {
         let in_file = |source| ConfigError::File { path: path.into(), source };
         let mut config = Config::read_file(path).map_err(in_file)?;
@@ -115,7 +117,7 @@
         })
     }
 
-    /// The longest that any client waits.
+    /// Returns the longest deadline of all classes.
     pub fn longest_deadline(&self) -> Duration {
         self.classes.values().map(|class| class.deadline).max().unwrap_or_default()
     }
@@ -127,7 +129,8 @@
     parse_address(&value).map(Some).map_err(in_environment)
 }
 
-/// The seed that the file has in hexadecimal. Without one, nodes and their starts still differ.
+/// Parses a hexadecimal seed. If that fails, generates one from the node's name and the time, so that it
+/// differs between nodes and between starts.
 fn parse_or_generate_seed(text: &str, name: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/src/node/startup/error.rs
+++ b/src/node/startup/error.rs
@@ -1,4 +1,4 @@
-//! Why a node cannot start.
+//! Errors that prevent the start of the node.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,51 +10,51 @@
 use crate::config::ConfigError;
 use crate::net::inherited_listener::InheritedListenerError;
 
-/// Why the node cannot start.
+/// An error that prevents the start of the node.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The socket that was passed on cannot be used.
+    /// The inherited socket cannot be used.
     #[error(transparent)]
     InheritedListener(#[from] InheritedListenerError),
-    /// The runtime cannot be built.
-    #[error("cannot start the runtime")]
+    /// The async runtime cannot be built.
+    #[error("cannot build the async runtime")]
     Runtime(#[source] io::Error),
-    /// A signal cannot be handled.
-    #[error("cannot handle {name}")]
+    /// The handler of a signal cannot be installed.
+    #[error("cannot install a handler for {name}")]
     Signal {
-        /// The signal's name.
+        /// Name of the signal.
         name: &'static str,
         /// The cause.
         source: io::Error,
     },
-    /// No configuration file is named.
+    /// The environment has no path of a configuration file.
     #[error("{CONFIG_VARIABLE} does not name a configuration file")]
     NoConfigFile,
-    /// The configuration cannot be read, or is invalid.
+    /// The configuration cannot be read or is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The listener that was passed on cannot be registered.
-    #[error("cannot use the inherited listener")]
+    /// The inherited listener cannot be registered with the runtime.
+    #[error("cannot register the inherited listener with the async runtime")]
     RegisterListener(#[source] io::Error),
-    /// An address cannot be listened on.
-    #[error("{field} {address}")]
+    /// The node cannot listen on an address.
+    #[error("cannot listen on {field} address {address}")]
     Listen {
-        /// The configuration's field.
+        /// Field of the configuration for this address.
         field: &'static str,
-        /// Its value.
+        /// The address.
         address: SocketAddr,
         /// The cause.
         source: io::Error,
     },
-    /// The address of a listener is not known.
-    #[error("no address of the listener {field}")]
+    /// The local address of a listener cannot be determined.
+    #[error("cannot determine the local address of the {field} listener")]
     LocalAddress {
-        /// The configuration's field.
+        /// Field of the configuration for the listener's address.
         field: &'static str,
         /// The cause.
         source: io::Error,
     },
-    /// The balancer does not work with these settings.
+    /// The balancer cannot be created with these settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
--- a/src/node/startup/listeners.rs
+++ b/src/node/startup/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners of a node.
+//! The listening sockets of the node.
 
 use std::net::SocketAddr;
 
@@ -7,16 +7,17 @@
 use super::StartError;
 use crate::config::Config;
 
-/// The sockets that the node listens on.
+/// The listening sockets of the node.
 pub struct Listeners {
-    /// For clients.
+    /// Listener for clients.
     pub downstream: TcpListener,
-    /// For operators, if the configuration names an address for them.
+    /// Listener for the admin API, if the configuration has an address for it.
     pub admin: Option<TcpListener>,
 }
 
 impl Listeners {
-    /// Opens them; the `inherited` one stands for the one that the configuration names.
+    /// Opens the listeners. An `inherited` listener is used for clients instead of the address in the
+    /// configuration.
     pub async fn open(
         config: &Config,
         inherited: Option<std::net::TcpListener>,
@@ -33,12 +34,13 @@
     }
 }
 
-/// Listens on an address, the value of the configuration's `field`.
+/// Listens on `address`. `field` is the field of the configuration for this address, for the error.
 async fn bind(field: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
     TcpListener::bind(address).await.map_err(|source| StartError::Listen { field, address, source })
 }
 
-/// The address of the listener that the configuration's `field` stands for.
+/// Returns the local address of a listener. `field` is the field of the configuration for its address, for
+/// the error.
 pub fn local_address(field: &'static str, listener: &TcpListener) -> Result<SocketAddr, StartError> {
     listener.local_addr().map_err(|source| StartError::LocalAddress { field, source })
 }
--- a/src/node/startup/mod.rs
+++ b/src/node/startup/mod.rs
@@ -1,4 +1,5 @@
-//! Starts a node: reads the configuration, opens the listeners, builds the parts and starts their tasks.
+//! Starts the node: reads the configuration, opens the listeners, creates the components and starts their
+//! tasks.
 
 mod error;
 mod listeners;
@@ -27,22 +28,22 @@
 
 pub use error::StartError;
 
-/// The environment variable that names the configuration file.
+/// Environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "GW_CONFIG";
 
-/// How often a process beside another one checks whether it is ready to accept connections.
+/// Interval at which a process with an inherited listener checks whether it is ready to accept connections.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The signals that the node handles.
 pub struct Signals {
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP, which reloads the configuration.
     pub hang_up: Signal,
-    /// SIGTERM: shut down.
+    /// SIGTERM, which starts the graceful shutdown.
     pub terminate: Signal,
 }
 
 impl Signals {
-    /// Handles the signals from now on. Unhandled, each of them ends the process.
+    /// Installs the handlers. Without them, each of the signals ends the process.
     pub fn handle() -> Result<Signals, StartError> {
         let handle = |name, kind| signal(kind).map_err(|source| StartError::Signal { name, source });
         Ok(Signals {
@@ -52,8 +53,8 @@
     }
 }
 
-/// Starts a node, on the `inherited` listener if there is one, and returns what shuts it down. Its tasks run
-/// on the current [`tokio::task::LocalSet`].
+/// Starts the node, on the `inherited` listener if there is one, and returns its graceful shutdown, which has
+/// not begun. The tasks of the node run on the current [`tokio::task::LocalSet`].
 pub async fn start(
     inherited: Option<std::net::TcpListener>,
     hang_up: Signal,
@@ -62,7 +63,7 @@
     let config = Rc::new(Config::read(&path)?);
     let shares_listener = inherited.is_some();
     let listeners = Listeners::open(&config, inherited).await?;
-    log!("{} listens on {}", config.name, local_address("listen", &listeners.downstream)?);
+    log!("{} listens for clients on {}", config.name, local_address("listen", &listeners.downstream)?);
     let node = Node::build(config, shares_listener, path, hang_up)?;
     if let Some(listener) = listeners.admin {
         node.start_admin(listener)?;
@@ -72,10 +73,10 @@
     Ok(node.start_accepting(listeners.downstream))
 }
 
-/// The parts that the start of the listeners needs.
+/// The components of the node that are needed to start serving its listeners.
 struct Node {
     config: Rc<Config>,
-    /// Whether the listener was inherited, and another process of the node may have it too.
+    /// Whether the listener was inherited, so that another process of the node may have it as well.
     shares_listener: bool,
     lifecycle: Rc<Lifecycle>,
     downstream: Rc<DownstreamServer>,
@@ -83,7 +84,7 @@
 }
 
 impl Node {
-    /// Builds the parts, and starts the tasks that need no listener.
+    /// Creates the components, and starts the tasks that need no listener.
     fn build(
         config: Rc<Config>,
         shares_listener: bool,
@@ -113,9 +114,9 @@
         Ok(Node { config, shares_listener, lifecycle, downstream, engine: engine_handle })
     }
 
-    /// Starts the admin API, and what depends on the state that it writes.
+    /// Starts the admin API, and the tasks that depend on the state that it writes.
     fn start_admin(&self, listener: TcpListener) -> Result<(), StartError> {
-        log!("{} has its admin API on {}", self.config.name, local_address("operator", &listener)?);
+        log!("{} serves the admin API on {}", self.config.name, local_address("operator", &listener)?);
         let store = Rc::new(StateStore::open(&std::env::temp_dir(), &self.config.name));
         if self.shares_listener {
             self.lifecycle.require_descriptors();
@@ -133,13 +134,13 @@
         Ok(())
     }
 
-    /// Starts accepting clients' connections.
+    /// Starts accepting connections from clients.
     fn start_accepting(self, listener: TcpListener) -> GracefulShutdown<DownstreamServer> {
         let stop_accepting = Rc::new(Notify::new());
         let stop_signal = stop_accepting.clone();
         let (lifecycle, downstream) = (self.lifecycle.clone(), self.downstream.clone());
         let accept_task = spawn_local(async move {
-            // Clients that this process could not serve yet are left to the other one.
+            // Until this process can serve requests, the other process accepts the connections.
             while self.shares_listener && !lifecycle.is_ready() {
                 sleep(READY_POLL_INTERVAL).await;
             }
--- a/tests/node/configuration.rs
+++ b/tests/node/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration files.
+//! Starts with a minimal configuration and with an invalid one.
 
 use serde_json::json;
 
@@ -22,7 +22,7 @@
     for unknown in [view_request(), order_request()] {
         assert_eq!(node.client().exchange(&unknown).status(), 404);
     }
-    // More clients, one after the other, than there are connections for.
+    // More clients connect, one after the other, than the connection limit allows at once.
     for _ in 0..20 {
         assert_eq!(node.client().exchange(&chart).status(), 200);
     }
--- a/tests/node/configuration_errors.rs
+++ b/tests/node/configuration_errors.rs
@@ -1,19 +1,21 @@
-//! What the node says of a configuration that it can't use.
+//! Error messages of a node that is started with an invalid configuration.
 
 use serde_json::{Value, json};
 
 use crate::support::*;
 
-/// A configuration that the node starts with, if its addresses are free.
-fn valid() -> Value {
+/// Returns a valid configuration.
+fn valid_config() -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f",
         "limits": {"memory_mb": 32, "sockets": 64},
-        "known": {"rev": 41, "all": true, "targets": [{"uid": "a", "endpoint": "127.0.0.1:1", "state": "ready"}]},
+        "known": {"rev": 41, "all": true,
+            "targets": [{"uid": "a", "endpoint": "127.0.0.1:1", "state": "ready"}]},
         "settings": {"services": [{"name": "view", "idempotency": "pure", "deadline_us": 1_000_000}]}})
 }
 
-/// The one line that a node logs before it exits because of this configuration, without the file's path.
-fn rejection(config: &str, admin: Option<&str>) -> String {
+/// Starts a node with this configuration and returns the line that it logs before it exits, without the path
+/// of the file. `admin` is the value of `GW_OPERATOR`.
+fn startup_error(config: &str, admin: Option<&str>) -> String {
     let path = write_config(config);
     let mut command = node_command();
     command.env("GW_CONFIG", &path);
@@ -24,31 +26,31 @@
     line.strip_prefix(&format!("{path}: ")).unwrap_or(&line).to_string()
 }
 
-/// What is logged of the valid configuration with this value at a JSON pointer.
-fn rejection_with(pointer: &str, value: Value) -> String {
-    let mut config = valid();
+/// Returns the line that a node logs if the valid configuration is changed to have `value` at a JSON pointer.
+fn startup_error_with(pointer: &str, value: Value) -> String {
+    let mut config = valid_config();
     *config.pointer_mut(pointer).expect(pointer) = value;
-    rejection(&config.to_string(), None)
+    startup_error(&config.to_string(), None)
 }
 
 #[test]
 fn an_invalid_address_is_logged_with_its_field_and_value() {
     for field in ["listen", "discovery"] {
-        let line = rejection_with(&format!("/{field}"), json!("127.0.0.1"));
+        let line = startup_error_with(&format!("/{field}"), json!("127.0.0.1"));
         let expected = format!("{field}: \"127.0.0.1\" is not an IP address with a port: ");
         assert!(line.starts_with(&expected), "{line}");
     }
-    let mut config = valid();
+    let mut config = valid_config();
     config["operator"] = json!("localhost:80");
-    let line = rejection(&config.to_string(), None);
+    let line = startup_error(&config.to_string(), None);
     assert!(line.starts_with("operator: \"localhost:80\" is not an IP address with a port: "), "{line}");
-    let line = rejection(&valid().to_string(), Some("nowhere"));
+    let line = startup_error(&valid_config().to_string(), Some("nowhere"));
     assert!(line.starts_with("GW_OPERATOR: \"nowhere\" is not an IP address with a port: "), "{line}");
 }
 
 #[test]
 fn an_invalid_address_in_the_endpoint_list_is_logged_with_its_field_value_and_position() {
-    let line = rejection_with("/known/targets/0/endpoint", json!("10.1.0.18"));
+    let line = startup_error_with("/known/targets/0/endpoint", json!("10.1.0.18"));
     assert!(line.starts_with("known: targets: endpoint: \"10.1.0.18\": "), "{line}");
     assert!(line.contains(" at line 1 column "), "{line}");
 }
@@ -66,7 +68,7 @@
         ("/known/targets/0/state", json!("asleep"), "known: targets: state: unknown variant `asleep`"),
     ];
     for (pointer, value, expected) in wrong {
-        let line = rejection_with(pointer, value);
+        let line = startup_error_with(pointer, value);
         assert!(line.starts_with(expected), "{pointer}: {line}");
         assert!(line.contains(" at line 1 column "), "{pointer}: {line}");
     }
@@ -75,28 +77,28 @@
 #[test]
 fn a_missing_field_is_logged_by_its_name() {
     for field in ["name", "listen", "discovery", "settings"] {
-        let mut config = valid();
+        let mut config = valid_config();
         config.as_object_mut().unwrap().remove(field);
-        let line = rejection(&config.to_string(), None);
+        let line = startup_error(&config.to_string(), None);
         assert!(line.starts_with(&format!("missing field `{field}` at line 1 column ")), "{line}");
     }
 }
 
 #[test]
 fn an_invalid_setting_is_logged_with_its_path_and_value() {
-    let line = rejection_with("/settings/services/0/idempotency", json!("perhaps"));
+    let line = startup_error_with("/settings/services/0/idempotency", json!("perhaps"));
     assert!(line.contains("services.0.idempotency") && line.contains("perhaps"), "{line}");
-    let line = rejection_with("/settings/services/0/deadline_us", json!("soon"));
+    let line = startup_error_with("/settings/services/0/deadline_us", json!("soon"));
     assert!(line.contains("services.0.deadline_us") && line.contains("soon"), "{line}");
 }
 
 #[test]
-fn settings_that_make_no_sense_together_are_logged_with_their_path_and_value() {
-    let mut config = valid();
+fn settings_that_are_out_of_range_or_inconsistent_are_logged_with_their_path_and_value() {
+    let mut config = valid_config();
     config["settings"]["balancers"] = json!(3);
     config["settings"]["rank"] = json!(3);
-    let line = rejection(&config.to_string(), None);
+    let line = startup_error(&config.to_string(), None);
     assert_eq!(line, "settings: rank is 3, but must be below balancers, which is 3");
-    let line = rejection_with("/settings/services/0/deadline_us", json!(0));
+    let line = startup_error_with("/settings/services/0/deadline_us", json!(0));
     assert!(line.starts_with("settings: services.0.goal_time_us is 0ns"), "{line}");
 }
--- a/tests/node/startup.rs
+++ b/tests/node/startup.rs
@@ -19,7 +19,10 @@
     };
     for field in ["listen", "operator"] {
         let line = expect_startup_error(spawn_with_config(&config(field, address.clone().into())));
-        assert_eq!(line, format!("{field} {address}: Address already in use (os error 98)"));
+        assert_eq!(
+            line,
+            format!("cannot listen on {field} address {address}: Address already in use (os error 98)")
+        );
     }
     let path = write_config(&config("seed", 3.into()));
     let line = expect_startup_error(node_command().env("GW_CONFIG", &path).spawn().unwrap());
