--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -43,7 +43,7 @@
         code: u16,
     },
     /// The number of an endpoint list is out of range.
-    #[error("malformed input: endpoint list number {number} is not below {bound}")]
+    #[error("malformed input: endpoint list number is {number}, but must be below {bound}")]
     ListNumberOutOfRange {
         /// The number.
         number: usize,
