--- a/src/simulator/encode.rs
+++ b/src/simulator/encode.rs
@@ -1,75 +1,76 @@
-//! Encoding of replies: the actions of a batch as one frame.
+//! Encoding of replies. A reply is one frame with the actions for a batch.
 
 use std::time::Duration;
 
 use crate::balancer::{Action, AttemptNumber, EndpointId, RequestId};
 use crate::simulator::codes::{NO_TIMEOUT, OBSERVE_ACTIVE, action as code};
 
-/// Collects the actions of a reply.
+/// A reply to which actions are added.
 #[derive(Default)]
 pub struct Reply {
     record_count: u32,
-    /// The records, without the frame's header.
+    /// The encoded records, without the header of the frame.
     records: Vec<u8>,
-    /// The instance whose actions come last.
-    current: Option<u16>,
+    /// Number of the node to which the last action belongs.
+    current_node: Option<u16>,
 }
 
 impl Reply {
-    /// Removes all actions, for the next batch.
+    /// Removes all actions, so that the reply can be used for the next batch.
     pub fn clear(&mut self) {
         self.record_count = 0;
         self.records.clear();
-        self.current = None;
+        self.current_node = None;
     }
 
-    /// Adds an action of an instance.
-    pub fn push(&mut self, instance: u16, action: Action) {
-        if self.current != Some(instance) {
-            self.current = Some(instance);
-            self.record(code::FROM).u16(instance);
+    /// Adds an action of the node of this number.
+    pub fn push(&mut self, node: u16, action: Action) {
+        if self.current_node != Some(node) {
+            self.current_node = Some(node);
+            self.begin_record(code::FROM).u16(node);
         }
         match action {
-            // On the wire an attempt counts as sent at once, however late its connection is established.
+            // `begin_by` has no use here: the simulator counts an attempt as sent at once, however late its
+            // connection is established.
             Action::Send { request, endpoint, begin_by: _ } => self.route(request, endpoint),
             Action::Reject { request, retry_after } => self.deny(request, retry_after),
             Action::Fail(request) => {
-                self.record(code::ERROR).u64(request);
+                self.begin_record(code::ERROR).u64(request);
             }
             Action::Cancel(request, attempt) => self.revoke(request, attempt),
             Action::SetTimer { after, token } => self.schedule(after, token.into()),
             Action::Subscribe => {
-                self.record(code::OBSERVE).u8(OBSERVE_ACTIVE);
+                self.begin_record(code::OBSERVE).u8(OBSERVE_ACTIVE);
             }
         }
     }
 
     fn route(&mut self, request: RequestId, endpoint: EndpointId) {
-        self.record(code::ROUTE).u64(request).endpoint(endpoint).u32(NO_TIMEOUT);
+        self.begin_record(code::ROUTE).u64(request).endpoint(endpoint).u32(NO_TIMEOUT);
     }
 
     fn deny(&mut self, request: RequestId, retry_after: Duration) {
-        self.record(code::DENY).u64(request).duration(retry_after);
+        self.begin_record(code::DENY).u64(request).duration(retry_after);
     }
 
     fn revoke(&mut self, request: RequestId, attempt: AttemptNumber) {
-        self.record(code::REVOKE).u64(request).u16(attempt);
+        self.begin_record(code::REVOKE).u64(request).u16(attempt);
     }
 
     fn schedule(&mut self, after: Duration, token: u64) {
-        self.record(code::SCHEDULE).duration(after).u64(token);
+        self.begin_record(code::SCHEDULE).duration(after).u64(token);
     }
 
-    /// Begins a record of this code; its fields follow.
-    fn record(&mut self, code: u16) -> FieldWriter<'_> {
+    /// Begins a record with its code. The caller appends the fields.
+    fn begin_record(&mut self, code: u16) -> FieldWriter<'_> {
         self.record_count += 1;
         let mut fields = FieldWriter(&mut self.records);
         fields.u16(code);
         fields
     }
 
-    /// The frame of the reply to the batch of this number.
-    pub fn frame(&self, batch: u32) -> Vec<u8> {
+    /// Returns the frame of the reply to the batch of this number.
+    pub fn to_frame(&self, batch: u32) -> Vec<u8> {
         const BATCH_BYTES: u32 = 4;
         const HEADER_BYTES: usize = 12;
         let mut frame = Vec::with_capacity(HEADER_BYTES + self.records.len());
@@ -81,7 +82,7 @@
     }
 }
 
-/// Appends fields to records, little-endian unless said otherwise.
+/// Appends fields to the records. They are little-endian unless stated otherwise.
 struct FieldWriter<'a>(&'a mut Vec<u8>);
 
 impl FieldWriter<'_> {
@@ -105,12 +106,13 @@
         self
     }
 
-    /// Microseconds, cut off at 71 minutes, the most that the field holds.
+    /// Appends a duration in microseconds, with 32 bits. A longer one than the field can hold, which is about
+    /// 71 minutes, becomes the maximum of the field.
     fn duration(&mut self, value: Duration) -> &mut Self {
         self.u32(u32::try_from(value.as_micros()).unwrap_or(u32::MAX))
     }
 
-    /// Four bytes of address, first byte first, and a port.
+    /// Appends an IPv4 address, which is big-endian, and a port.
     fn endpoint(&mut self, id: EndpointId) -> &mut Self {
         let (address, port) = ((id >> 16) as u32, id as u16);
         self.0.extend(address.to_be_bytes());
--- a/tests/simulator/encoding.rs
+++ b/tests/simulator/encoding.rs
@@ -1,4 +1,4 @@
-//! Replies, written out byte by byte from the tables of the wire.
+//! Encoding of replies, whose bytes are written by hand from the tables of the wire's specification.
 
 use std::time::Duration;
 
@@ -26,5 +26,5 @@
     frame.extend((body.len() as u32 + 4).to_le_bytes());
     frame.extend(hex("0c000000"));
     frame.extend(body);
-    assert_eq!(reply.frame(12), frame);
+    assert_eq!(reply.to_frame(12), frame);
 }
