--- a/src/node/downstream/connection.rs
+++ b/src/node/downstream/connection.rs
@@ -34,7 +34,7 @@
     /// Whether it was asked to close.
     closing: Cell<bool>,
     close: Notify,
-    cut: Notify,
+    abort: Notify,
     observer: Rc<SocketObserver>,
 }
 
@@ -48,7 +48,7 @@
             first_request_pending: Cell::new(true),
             closing: Cell::new(false),
             close: Notify::new(),
-            cut: Notify::new(),
+            abort: Notify::new(),
             observer,
         }
     }
@@ -74,23 +74,23 @@
     }
 
     /// A request has been read from it.
-    pub fn request_started(&self) {
+    pub fn mark_request_started(&self) {
         self.idle_since.set(None);
     }
 
     /// The response to the open request has been handed to hyper.
-    pub fn request_answered(&self) {
+    pub fn mark_request_answered(&self) {
         self.first_request_pending.set(false);
     }
 
     /// hyper has taken the last of the response.
-    pub fn request_finished(&self) {
+    pub fn mark_request_finished(&self) {
         self.idle_since.set(Some(Instant::now()));
     }
 
     /// By when a request whose head has just been read has to make progress with its body. The first request
     /// is measured from the accept.
-    pub fn request_due(&self) -> Instant {
+    pub fn body_deadline(&self) -> Instant {
         let started = if self.is_first_request_pending() { self.accepted_at } else { Instant::now() };
         started + REQUEST_TIMEOUT
     }
@@ -102,7 +102,7 @@
 
     /// Since when it is idle, if it may be closed now. A client whose request crosses the close sends it once
     /// more, but a request that has begun to arrive would be lost.
-    pub fn closable_since(&self) -> Option<Instant> {
+    pub fn idle_since_if_closable(&self) -> Option<Instant> {
         let idle_since = self.idle_since.get()?;
         if self.is_closing() || self.has_incoming_request() {
             return None;
@@ -115,17 +115,17 @@
     /// Whether its client has taken too long to send a request head, or to read a response.
     pub fn is_stuck(&self) -> bool {
         let write_blocked = self.observer.write_blocked_since();
-        self.head_due().is_some_and(|due| due <= Instant::now())
+        self.head_deadline().is_some_and(|deadline| deadline <= Instant::now())
             || write_blocked.is_some_and(|since| since.elapsed() >= WRITE_TIMEOUT)
     }
 
     /// By when the head that is being received has to be complete.
-    fn head_due(&self) -> Option<Instant> {
+    fn head_deadline(&self) -> Option<Instant> {
         self.idle_since.get()?;
-        let due = self.observer.head_since()? + REQUEST_TIMEOUT;
+        let deadline = self.observer.head_since()? + REQUEST_TIMEOUT;
         Some(match self.is_first_request_pending() {
-            true => due.min(self.accepted_at + FIRST_HEAD_TIMEOUT),
-            false => due,
+            true => deadline.min(self.accepted_at + FIRST_HEAD_TIMEOUT),
+            false => deadline,
         })
     }
 
@@ -140,12 +140,12 @@
     }
 
     /// Asks its task to close it at once if it is still stuck.
-    pub fn request_cut(&self) {
-        self.cut.notify_one();
+    pub fn request_abort(&self) {
+        self.abort.notify_one();
     }
 
-    /// Waits for [`Connection::request_cut`].
-    pub async fn cut_requested(&self) {
-        self.cut.notified().await;
+    /// Waits for [`Connection::request_abort`].
+    pub async fn abort_requested(&self) {
+        self.abort.notified().await;
     }
 }
--- a/src/node/downstream/connections.rs
+++ b/src/node/downstream/connections.rs
@@ -74,7 +74,7 @@
     /// Sets the limits, and closes idle connections beyond them.
     pub fn set_limits(&self, limits: ConnectionLimits) {
         self.limits.set(limits);
-        while self.staying() > limits.max_open && self.close_idlest() {}
+        while self.non_closing_count() > limits.max_open && self.close_longest_idle() {}
     }
 
     /// Enters a connection until the returned guard is dropped. If there are too many, the one that has been
@@ -83,7 +83,7 @@
         let id = self.next_id.replace(self.next_id.get() + 1);
         self.open.borrow_mut().insert(id, connection.clone());
         if self.exceeds_keep_alive_limit() {
-            self.close_idlest();
+            self.close_longest_idle();
         }
         TableEntry { table: self.clone(), id, connection }
     }
@@ -91,7 +91,7 @@
     /// Counts a request as open on its connection until the returned guard is dropped.
     pub fn start_request(self: &Rc<Self>, connection: &Rc<Connection>) -> RequestGuard {
         self.active.set(self.active.get() + 1);
-        connection.request_started();
+        connection.mark_request_started();
         RequestGuard { table: self.clone(), connection: connection.clone() }
     }
 
@@ -117,11 +117,11 @@
 
     /// Whether there are more connections than may stay open between requests.
     pub fn exceeds_keep_alive_limit(&self) -> bool {
-        self.staying() > self.limits.get().max_kept_alive
+        self.non_closing_count() > self.limits.get().max_kept_alive
     }
 
     /// How many connections there are that were not asked to close.
-    fn staying(&self) -> usize {
+    fn non_closing_count(&self) -> usize {
         self.open.borrow().len() - self.closing.get()
     }
 
@@ -142,35 +142,36 @@
     }
 
     /// Closes the connection that has been idle for longest; returns whether there was one to close.
-    pub fn close_idlest(&self) -> bool {
+    pub fn close_longest_idle(&self) -> bool {
         let open = self.open.borrow();
         let closable =
-            open.values().filter_map(|connection| Some((connection.closable_since()?, connection)));
-        let idlest = closable.min_by_key(|(idle_since, _)| *idle_since);
-        idlest.inspect(|(_, connection)| self.close(connection)).is_some()
+            open.values().filter_map(|connection| Some((connection.idle_since_if_closable()?, connection)));
+        let longest_idle = closable.min_by_key(|(idle_since, _)| *idle_since);
+        longest_idle.inspect(|(_, connection)| self.close(connection)).is_some()
     }
 
     /// Closes the connections that have been idle for at least `min_idle`.
     pub fn close_idle(&self, min_idle: Duration) {
         for connection in self.open.borrow().values() {
-            if connection.closable_since().is_some_and(|idle_since| idle_since.elapsed() >= min_idle) {
+            if connection.idle_since_if_closable().is_some_and(|idle_since| idle_since.elapsed() >= min_idle)
+            {
                 self.close(connection);
             }
         }
     }
 
     /// Cuts off the connections whose clients have stopped sending or reading.
-    pub fn cut_stuck(&self) {
+    pub fn abort_stuck(&self) {
         let open = self.open.borrow();
         open.values()
             .filter(|connection| connection.is_stuck())
-            .for_each(|connection| connection.request_cut());
+            .for_each(|connection| connection.request_abort());
     }
 
     /// Waits until a connection is removed, for at most `limit`.
-    pub async fn wait_for_removal(&self, limit: Duration) {
+    pub async fn wait_for_removal(&self, max_wait: Duration) {
         // Whether one was is for the caller to see in the table.
-        let _ = timeout(limit, self.removed.notified()).await;
+        let _ = timeout(max_wait, self.removed.notified()).await;
     }
 }
 
@@ -197,7 +198,7 @@
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.connection.request_finished();
+        self.connection.mark_request_finished();
         self.table.active.set(self.table.active.get() - 1);
     }
 }
--- a/src/node/downstream/exchange.rs
+++ b/src/node/downstream/exchange.rs
@@ -49,27 +49,27 @@
     let AcceptedRequest { request, upstream_request, claimed_id: _claimed_id } = accepted;
     let body = upstream_request.body.clone();
     let (answer_sender, answer) = oneshot::channel();
-    let mut disconnect = DisconnectGuard { id: request.id, upstream_request, engine, armed: true };
+    let mut disconnect_guard = DisconnectGuard { id: request.id, upstream_request, engine, armed: true };
     engine.send(EngineEvent::RequestArrived {
         request,
-        upstream_request: disconnect.upstream_request.clone(),
+        upstream_request: disconnect_guard.upstream_request.clone(),
         answer_sender,
     });
     let answer = tokio::select! {
         biased;
         answer = answer => answer,
-        error = upload_failed(body) => return Err(error.into()),
+        error = wait_for_upload_failure(body) => return Err(error.into()),
         () = observer.closed() => return Err(RequestError::ClientDisconnected),
         () = lifecycle.wait_for_shutdown_deadline() => {
             return Ok(plain(StatusCode::GATEWAY_TIMEOUT, "the node is leaving"));
         }
     };
-    disconnect.armed = false;
+    disconnect_guard.armed = false;
     Ok(answer.map_or_else(|_| no_answer(), response_to))
 }
 
 /// Waits until the client has failed to send its body, for ever if it has not.
-async fn upload_failed(body: RequestBody) -> BodyError {
+async fn wait_for_upload_failure(body: RequestBody) -> BodyError {
     match body {
         RequestBody::Streamed(stream) => stream.failed().await,
         RequestBody::Buffered { .. } => std::future::pending().await,
--- a/src/node/downstream/handler.rs
+++ b/src/node/downstream/handler.rs
@@ -26,7 +26,7 @@
 /// A response, and what has to become of its connection.
 pub struct Reply {
     pub response: Response<ResponseBody>,
-    pub then: AfterResponse,
+    pub after_response: AfterResponse,
 }
 
 /// What has to become of a connection after a response.
@@ -43,7 +43,7 @@
 impl Reply {
     /// The response to a request with an error. Where the next request begins cannot be relied on.
     fn client_error(error: &RequestError) -> Reply {
-        Reply { response: client_error(error), then: AfterResponse::LingeringClose }
+        Reply { response: client_error(error), after_response: AfterResponse::LingeringClose }
     }
 }
 
@@ -70,17 +70,17 @@
         RequestHandler { config, engine, lifecycle, connections, buffer_budget, open_ids }
     }
 
-    /// The reply to a request whose body has to make progress by `body_due`.
+    /// The reply to a request whose body has to make progress by `body_deadline`.
     pub async fn reply(
         &self,
         request: Request<Incoming>,
         observer: &Rc<SocketObserver>,
-        body_due: Instant,
+        body_deadline: Instant,
     ) -> Reply {
         let reply = if request.uri().path() == health::PATH {
             self.health_reply(&request, observer)
         } else {
-            self.forward(request, observer, body_due).await
+            self.forward(request, observer, body_deadline).await
         };
         reply.unwrap_or_else(|error| Reply::client_error(&error))
     }
@@ -95,7 +95,7 @@
         }
         observer.request_completed(Some(0));
         let response = health::respond(request.method(), &self.lifecycle);
-        Ok(Reply { response, then: AfterResponse::KeepAlive })
+        Ok(Reply { response, after_response: AfterResponse::KeepAlive })
     }
 
     /// The reply to a request that endpoints serve.
@@ -103,10 +103,10 @@
         &self,
         request: Request<Incoming>,
         observer: &Rc<SocketObserver>,
-        body_due: Instant,
+        body_deadline: Instant,
     ) -> Result<Reply, RequestError> {
         let chunked = is_chunked(request.headers());
-        let accepted = self.accept(request, observer, body_due).await?;
+        let accepted = self.accept(request, observer, body_deadline).await?;
         let upstream_request = accepted.upstream_request.clone();
         let response = if self.lifecycle.is_past_shutdown_deadline() {
             // Other nodes accept it at once.
@@ -117,14 +117,14 @@
         } else {
             exchange(accepted, observer, &self.engine, &self.lifecycle).await?
         };
-        let then = match upstream_request.received_at() {
+        let after_response = match upstream_request.received_at() {
             None => AfterResponse::LingeringClose,
             // Only hyper knows where among the bytes the last chunk ended, so that the head of the next
             // request could not be told apart.
             Some(_) if chunked => AfterResponse::Close,
             Some(_) => AfterResponse::KeepAlive,
         };
-        Ok(Reply { response, then })
+        Ok(Reply { response, after_response })
     }
 
     /// Validates a request and receives its body: all of it if it is small.
@@ -132,12 +132,12 @@
         &self,
         request: Request<Incoming>,
         observer: &Rc<SocketObserver>,
-        body_due: Instant,
+        body_deadline: Instant,
     ) -> Result<AcceptedRequest<'_>, RequestError> {
         let (parts, body) = request.into_parts();
         check_framing(&parts.headers, observer)?;
         let head = RequestHead::parse(parts, !body.is_end_stream(), &self.config)?;
-        let body = RequestBody::read(body, body_due, &self.buffer_budget, observer).await?;
+        let body = RequestBody::read(body, body_deadline, &self.buffer_budget, observer).await?;
         let buffered_at = Instant::now();
         let claimed_id = self.open_ids.claim(head.client_request_id());
         let claimed_id = claimed_id.ok_or(RequestError::DuplicateRequestId)?;
--- a/src/node/downstream/listener.rs
+++ b/src/node/downstream/listener.rs
@@ -38,7 +38,7 @@
                 }
                 Err(error) => {
                     if is_descriptor_limit(&error) {
-                        self.connections().close_idlest();
+                        self.connections().close_longest_idle();
                         self.upstream().evict_idle();
                     }
                     sleep(ACCEPT_BACKOFF).await;
@@ -51,7 +51,7 @@
     /// drop one would lose a request.
     async fn wait_for_capacity(&self) {
         while !self.connections().has_capacity() {
-            self.connections().close_idlest();
+            self.connections().close_longest_idle();
             self.connections().wait_for_removal(ACCEPT_BACKOFF).await;
         }
     }
--- a/src/node/downstream/request.rs
+++ b/src/node/downstream/request.rs
@@ -43,7 +43,7 @@
     /// Parses and validates a head. `has_body` tells whether a body follows.
     pub fn parse(parts: Parts, has_body: bool, config: &Config) -> Result<RequestHead, RequestError> {
         let Parts { method, uri, headers, .. } = parts;
-        let class = class_of(&uri, config).ok_or(RequestError::UnknownClass)?;
+        let class = find_class(&uri, config).ok_or(RequestError::UnknownClass)?;
         let client_request_id = parse_request_id(&headers)?.into();
         let deadline = single_value(&headers, &REQ_DEADLINE).and_then(parse_seconds);
         let deadline = deadline.ok_or(RequestError::InvalidDeadline)?;
@@ -125,7 +125,7 @@
 }
 
 /// The class that the first part of the path names.
-fn class_of(uri: &Uri, config: &Config) -> Option<ClassRule> {
+fn find_class(uri: &Uri, config: &Config) -> Option<ClassRule> {
     let name = uri.path().split('/').nth(1)?;
     config.classes.get(name).copied()
 }
--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -89,7 +89,7 @@
         loop {
             sleep(SWEEP_INTERVAL).await;
             self.connections.close_idle(REQUEST_TIMEOUT);
-            self.connections.cut_stuck();
+            self.connections.abort_stuck();
         }
     }
 }
--- a/src/node/downstream/service.rs
+++ b/src/node/downstream/service.rs
@@ -55,7 +55,7 @@
                 // of one, that had not arrived when the close was requested.
                 biased;
                 _ = serving.as_mut() => return,
-                () = connection.cut_requested() => {
+                () = connection.abort_requested() => {
                     if connection.is_stuck() {
                         return;
                     }
@@ -77,11 +77,11 @@
         request: Request<Incoming>,
         connection: &Rc<Connection>,
     ) -> Response<ResponseBody> {
-        let body_due = connection.request_due();
+        let body_deadline = connection.body_deadline();
         let guard = self.connections.start_request(connection);
-        let reply = self.handler.reply(request, connection.observer(), body_due).await;
-        connection.request_answered();
-        let response = match reply.then {
+        let reply = self.handler.reply(request, connection.observer(), body_deadline).await;
+        connection.mark_request_answered();
+        let response = match reply.after_response {
             AfterResponse::KeepAlive if !self.must_close(connection) => reply.response,
             AfterResponse::KeepAlive | AfterResponse::Close => closing(reply.response),
             AfterResponse::LingeringClose => {
--- a/tests/unit/downstream.rs
+++ b/tests/unit/downstream.rs
@@ -34,7 +34,7 @@
     let mut client = BlockingStream::connect(listener.local_addr().unwrap()).unwrap();
     let connection = server.serve(listener.accept().await.unwrap().0);
     client.write_all(HEALTH_CHECK).unwrap();
-    while connection.is_first_request_pending() || connection.closable_since().is_none() {
+    while connection.is_first_request_pending() || connection.idle_since_if_closable().is_none() {
         yield_now().await;
     }
     assert!(client.read(&mut [0; 1024]).unwrap() > 0);
@@ -43,7 +43,7 @@
 
 /// What a client receives whose connection `end` asks to end while the client's request is on its way: the kernel is
 /// polled before the connection's task runs, as happens under load.
-fn response_when_ended(end: impl FnOnce(&DownstreamServer, &Connection)) -> String {
+fn response_to_request_during(end: impl FnOnce(&DownstreamServer, &Connection)) -> String {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let server = server();
@@ -79,13 +79,13 @@
 
 #[test]
 fn a_request_that_begins_as_its_connection_is_asked_to_close_is_answered() {
-    let response = response_when_ended(|server, connection| server.connections().close(connection));
+    let response = response_to_request_during(|server, connection| server.connections().close(connection));
     assert!(response.starts_with("HTTP/1.1 "), "{response:?}");
 }
 
 /// As when the rest of a slow head arrives between the sweep that found it late and the cut.
 #[test]
 fn a_connection_that_is_no_longer_stuck_is_not_cut_off() {
-    let response = response_when_ended(|_, connection| connection.request_cut());
+    let response = response_to_request_during(|_, connection| connection.request_abort());
     assert!(response.starts_with("HTTP/1.1 "), "{response:?}");
 }
