--- a/src/node/downstream/connection.rs
+++ b/src/node/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! One downstream connection: what the rest of the node knows of it, and when it may or must be closed.
+//! The state of one downstream connection, and the rules for when it may or must be closed.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,29 +9,29 @@
 
 use crate::net::SocketObserver;
 
-/// How long a client may take to send a request head, and how long a connection may stay idle. A client that
-/// needs a connection later opens a new one.
+/// Maximum time in which a client has to send a request head, and maximum time for which a connection stays
+/// idle. A client that needs a connection later opens a new one.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The head of a connection's first request has to be complete this long after the connection was accepted,
-/// which ends an unused connection within 3 s of its start.
+/// Maximum time from accepting a connection to the end of its first request's head. It ensures that a
+/// connection is closed within 3 s if no head is completed on it.
 const FIRST_HEAD_TIMEOUT: Duration = Duration::from_millis(2800);
-/// How long a client may read nothing of a response that is waiting to be written.
+/// Maximum time for which a client may read nothing while a response is waiting to be written.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// A new connection is not closed to free capacity for this long: clients connect because they have a
-/// request.
+/// Minimum age at which an unused connection is closed to free capacity. Clients usually connect because they
+/// have a request to send.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(300);
-/// A connection that has served a request is not closed to free capacity until it has been idle for this
-/// long: the next request may be on its way already.
+/// Minimum idle time after which a connection that has served a request is closed to free capacity. The next
+/// request may already be on its way.
 const MIN_IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(100);
 
-/// The state of a connection that its own task, the connection table and the sweeps share.
+/// The state of a connection, shared by its own task, the connection table and the periodic sweeps.
 pub struct Connection {
     accepted_at: Instant,
-    /// Since when no request is open; `None` while one is.
+    /// When the last request finished, or when the connection was accepted. `None` while a request is open.
     idle_since: Cell<Option<Instant>>,
-    /// Whether no request has been answered on it yet.
+    /// Whether no request has been answered on the connection yet.
     first_request_pending: Cell<bool>,
-    /// Whether it was asked to close.
+    /// Whether the connection was asked to close.
     closing: Cell<bool>,
     close: Notify,
     abort: Notify,
@@ -39,7 +39,7 @@
 }
 
 impl Connection {
-    /// A connection accepted now, whose socket `observer` watches.
+    /// Creates the state of a connection that was accepted just now. `observer` observes its socket.
     pub fn new(observer: Rc<SocketObserver>) -> Connection {
         let now = Instant::now();
         Connection {
@@ -53,55 +53,56 @@
         }
     }
 
-    /// What has passed on its socket.
+    /// Returns the observer of the connection's socket.
     pub fn observer(&self) -> &Rc<SocketObserver> {
         &self.observer
     }
 
-    /// Whether no request has been answered on it yet.
+    /// Returns whether no request has been answered on the connection yet.
     pub fn is_first_request_pending(&self) -> bool {
         self.first_request_pending.get()
     }
 
-    /// Whether it was asked to close.
+    /// Returns whether the connection was asked to close.
     pub fn is_closing(&self) -> bool {
         self.closing.get()
     }
 
-    /// Records whether it was asked to close, and returns what was recorded before.
+    /// Records whether the connection was asked to close, and returns the previous value.
     pub fn set_closing(&self, closing: bool) -> bool {
         self.closing.replace(closing)
     }
 
-    /// A request has been read from it.
+    /// Records that the head of a request has been read.
     pub fn mark_request_started(&self) {
         self.idle_since.set(None);
     }
 
-    /// The response to the open request has been handed to hyper.
+    /// Records that the response to the open request is handed to hyper.
     pub fn mark_request_answered(&self) {
         self.first_request_pending.set(false);
     }
 
-    /// hyper has taken the last of the response.
+    /// Records that hyper has taken the last bytes of the response. The connection is idle from now on.
     pub fn mark_request_finished(&self) {
         self.idle_since.set(Some(Instant::now()));
     }
 
-    /// By when a request whose head has just been read has to make progress with its body. The first request
-    /// is measured from the accept.
+    /// Returns the time by which a request whose head was read just now has to make progress with its body.
+    /// For the first request of the connection the timeout starts when the connection is accepted.
     pub fn body_deadline(&self) -> Instant {
         let started = if self.is_first_request_pending() { self.accepted_at } else { Instant::now() };
         started + REQUEST_TIMEOUT
     }
 
-    /// Whether some of a request has been read, or can be read.
+    /// Returns whether some bytes of a request have been read, or have been received and can be read.
     pub fn has_incoming_request(&self) -> bool {
         self.observer.has_request_started() || self.observer.has_unread_data()
     }
 
-    /// Since when it is idle, if it may be closed now. A client whose request crosses the close sends it once
-    /// more, but a request that has begun to arrive would be lost.
+    /// Returns since when the connection is idle, if it may be closed now. A client whose request was still
+    /// on its way when the connection closed sends the request again, but a request that has partly arrived
+    /// would be lost.
     pub fn idle_since_if_closable(&self) -> Option<Instant> {
         let idle_since = self.idle_since.get()?;
         if self.is_closing() || self.has_incoming_request() {
@@ -112,14 +113,14 @@
         (idle_since.elapsed() >= min_idle).then_some(idle_since)
     }
 
-    /// Whether its client has taken too long to send a request head, or to read a response.
+    /// Returns whether the client has taken too long to send a request head or to read a response.
     pub fn is_stuck(&self) -> bool {
         let write_blocked = self.observer.write_blocked_since();
         self.head_deadline().is_some_and(|deadline| deadline <= Instant::now())
             || write_blocked.is_some_and(|since| since.elapsed() >= WRITE_TIMEOUT)
     }
 
-    /// By when the head that is being received has to be complete.
+    /// Returns the time by which the request head that is being received has to be complete.
     fn head_deadline(&self) -> Option<Instant> {
         self.idle_since.get()?;
         let deadline = self.observer.head_since()? + REQUEST_TIMEOUT;
@@ -129,7 +130,7 @@
         })
     }
 
-    /// Asks its task to close it, unless a request arrives first.
+    /// Asks the connection's task to close the connection, unless a request arrives first.
     pub fn request_close(&self) {
         self.close.notify_one();
     }
@@ -139,7 +140,7 @@
         self.close.notified().await;
     }
 
-    /// Asks its task to close it at once if it is still stuck.
+    /// Asks the connection's task to close the connection immediately if it is still stuck.
     pub fn request_abort(&self) {
         self.abort.notify_one();
     }
--- a/src/node/downstream/connections.rs
+++ b/src/node/downstream/connections.rs
@@ -1,5 +1,5 @@
-//! The table of downstream connections: the one owner of their number, their limits, and the choice of the
-//! idle connection to close.
+//! The table of downstream connections. It alone counts them, enforces their limits and selects the idle
+//! connections to close.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -11,27 +11,30 @@
 
 use crate::downstream::connection::Connection;
 
-/// Up to one in this many descriptors is used for connections that stay open between requests.
+/// Divisor of the number of descriptors. The quotient is the maximum number of connections that stay open
+/// between requests.
 const KEEP_ALIVE_DIVISOR: usize = 3;
-/// One in this many connections is not served but answered with a rejection.
+/// Divisor of the maximum number of open connections. The quotient is the number of connections whose
+/// requests are rejected instead of served.
 const REJECTION_DIVISOR: usize = 10;
 
-/// How many downstream connections there may be.
+/// Limits on the number of downstream connections.
 #[derive(Clone, Copy)]
 pub struct ConnectionLimits {
-    /// The most open connections.
+    /// Maximum number of open connections.
     max_open: usize,
-    /// The most of them with a request that is served.
+    /// Maximum number of connections with a request that is served.
     max_served: usize,
-    /// Beyond this many, idle connections are closed and responses close theirs: connections that clients
-    /// keep without using them keep others from connecting.
+    /// Maximum number of connections that stay open between requests. Above it, an idle connection is closed
+    /// for each new one, and responses close their connections. Connections that clients keep open without
+    /// using them would prevent other clients from connecting.
     max_kept_alive: usize,
 }
 
 impl ConnectionLimits {
-    /// The limits for a process with so many descriptors for connections, of which `upstream` are set aside
-    /// for endpoints. A downstream connection is in use for as long as its request waits, an upstream one
-    /// only during an attempt: downstream needs more.
+    /// Returns the limits for a process with this many descriptors for connections, of which `upstream` are
+    /// reserved for upstream connections. More are needed downstream: a downstream connection is in use for
+    /// as long as its request waits, an upstream connection only during an attempt.
     pub fn new(descriptors: usize, upstream: usize) -> ConnectionLimits {
         let max_open = descriptors - upstream;
         ConnectionLimits {
@@ -45,21 +48,21 @@
 /// Identifies a connection in the table.
 type ConnectionId = u64;
 
-/// All downstream connections.
+/// All open downstream connections.
 pub struct ConnectionTable {
     limits: Cell<ConnectionLimits>,
     open: RefCell<HashMap<ConnectionId, Rc<Connection>>>,
     next_id: Cell<ConnectionId>,
-    /// How many connections have a request open.
+    /// Number of connections with an open request.
     active: Cell<usize>,
-    /// How many connections were asked to close and have not yet.
+    /// Number of connections that were asked to close and are still open.
     closing: Cell<usize>,
-    /// Notified whenever a connection was removed.
+    /// Notified whenever a connection is removed.
     removed: Notify,
 }
 
 impl ConnectionTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(limits: ConnectionLimits) -> ConnectionTable {
         ConnectionTable {
             limits: Cell::new(limits),
@@ -71,14 +74,14 @@
         }
     }
 
-    /// Sets the limits, and closes idle connections beyond them.
+    /// Sets the limits, and closes idle connections while there are more connections than allowed.
     pub fn set_limits(&self, limits: ConnectionLimits) {
         self.limits.set(limits);
         while self.non_closing_count() > limits.max_open && self.close_longest_idle() {}
     }
 
-    /// Enters a connection until the returned guard is dropped. If there are too many, the one that has been
-    /// idle for longest is closed.
+    /// Adds a connection, which dropping the returned guard removes. If this exceeds the keep-alive limit,
+    /// closes the connection that has been idle for longest.
     pub fn insert(self: &Rc<Self>, connection: Rc<Connection>) -> TableEntry {
         let id = self.next_id.replace(self.next_id.get() + 1);
         self.open.borrow_mut().insert(id, connection.clone());
@@ -88,39 +91,39 @@
         TableEntry { table: self.clone(), id, connection }
     }
 
-    /// Counts a request as open on its connection until the returned guard is dropped.
+    /// Counts a request as open on `connection` until the returned guard is dropped.
     pub fn start_request(self: &Rc<Self>, connection: &Rc<Connection>) -> RequestGuard {
         self.active.set(self.active.get() + 1);
         connection.mark_request_started();
         RequestGuard { table: self.clone(), connection: connection.clone() }
     }
 
-    /// Whether there is no connection.
+    /// Returns whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.open.borrow().is_empty()
     }
 
-    /// Whether another connection may be accepted.
+    /// Returns whether another connection may be accepted.
     pub fn has_capacity(&self) -> bool {
         self.open.borrow().len() < self.limits.get().max_open
     }
 
-    /// Whether there are more connections than allowed, those that are closing included.
+    /// Returns whether there are more connections than allowed, including those that are closing.
     pub fn exceeds_limit(&self) -> bool {
         self.open.borrow().len() > self.limits.get().max_open
     }
 
-    /// Whether more requests are open than may be served.
+    /// Returns whether more requests are open than may be served.
     pub fn exceeds_served_limit(&self) -> bool {
         self.active.get() > self.limits.get().max_served
     }
 
-    /// Whether there are more connections than may stay open between requests.
+    /// Returns whether there are more connections than may stay open between requests.
     pub fn exceeds_keep_alive_limit(&self) -> bool {
         self.non_closing_count() > self.limits.get().max_kept_alive
     }
 
-    /// How many connections there are that were not asked to close.
+    /// Returns the number of connections that were not asked to close.
     fn non_closing_count(&self) -> usize {
         self.open.borrow().len() - self.closing.get()
     }
@@ -133,15 +136,15 @@
         connection.request_close();
     }
 
-    /// Withdraws [`ConnectionTable::close`]: a request has begun to arrive. The connection closes with its
-    /// response if it has to.
+    /// Cancels [`ConnectionTable::close`] because a request has begun to arrive. If the connection still has
+    /// to close once the request is answered, it closes with the response.
     pub fn cancel_close(&self, connection: &Connection) {
         if connection.set_closing(false) {
             self.closing.set(self.closing.get() - 1);
         }
     }
 
-    /// Closes the connection that has been idle for longest; returns whether there was one to close.
+    /// Closes the connection that has been idle for longest. Returns whether there was one to close.
     pub fn close_longest_idle(&self) -> bool {
         let open = self.open.borrow();
         let closable =
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Cuts off the connections whose clients have stopped sending or reading.
+    /// Aborts the connections whose clients have stopped sending or reading.
     pub fn abort_stuck(&self) {
         let open = self.open.borrow();
         open.values()
@@ -168,14 +171,14 @@
             .for_each(|connection| connection.request_abort());
     }
 
-    /// Waits until a connection is removed, for at most `limit`.
+    /// Waits until a connection is removed, for at most `max_wait`.
     pub async fn wait_for_removal(&self, max_wait: Duration) {
-        // Whether one was is for the caller to see in the table.
+        // The result is ignored: callers check the table again after both a removal and a timeout.
         let _ = timeout(max_wait, self.removed.notified()).await;
     }
 }
 
-/// A connection's entry in the table, removed on drop.
+/// A connection's entry in the table, which is removed on drop.
 pub struct TableEntry {
     table: Rc<ConnectionTable>,
     id: ConnectionId,
@@ -190,7 +193,7 @@
     }
 }
 
-/// An open request; dropped once hyper has taken the last of its response.
+/// Counts a request as open. It is dropped once hyper has taken the last bytes of the response.
 pub struct RequestGuard {
     table: Rc<ConnectionTable>,
     connection: Rc<Connection>,
--- a/src/node/downstream/error.rs
+++ b/src/node/downstream/error.rs
@@ -1,4 +1,4 @@
-//! Why a request is answered with a client error, and with which one.
+//! The reasons for which a request is answered with a client error, and the status of each.
 
 use hyper::{Method, StatusCode};
 
@@ -6,56 +6,56 @@
 use crate::config::MAX_DEADLINE;
 use crate::downstream::request_ids::MAX_REQUEST_ID_BYTES;
 
-/// What is wrong with a request, for its client to correct.
+/// Error in a request that its client has to correct.
 ///
-/// The messages are the bodies of the responses. They name the field and what is allowed; of what the client
-/// sent they repeat no text, which is unchecked.
+/// The messages are the bodies of the responses. They name the field and what is allowed. They do not repeat
+/// text that the client sent, because it is unchecked.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    /// hyper goes by the encoding and hides the length. For a peer that goes by the length, another request
-    /// may be in the body.
+    /// The request states its length in two ways. hyper follows `Transfer-Encoding` and hides
+    /// `Content-Length`. To a peer that follows `Content-Length`, the body may contain another request.
     #[error("both Content-Length and Transfer-Encoding")]
     AmbiguousFraming,
-    /// The first part of the path names no class of the settings.
+    /// The first part of the path is not the name of a class in the settings.
     #[error("no such class: the first part of the path has to name one")]
     UnknownClass,
-    /// `Req-Id` is not there exactly once.
+    /// `Req-Id` is not present exactly once, or is not text.
     #[error("Req-Id is missing, repeated or unreadable")]
     MissingRequestId,
-    /// `Req-Id` is not of the form that is allowed.
+    /// The length or the characters of `Req-Id` are not allowed.
     #[error(
         "Req-Id is unreadable: it has {length} bytes; 1 to {MAX_REQUEST_ID_BYTES} are allowed, \
          all of them visible ASCII characters"
     )]
     InvalidRequestId {
-        /// How many bytes it has.
+        /// Length of the value in bytes.
         length: usize,
     },
-    /// `Req-Deadline` is not there exactly once, or states no time that is allowed.
+    /// `Req-Deadline` is not present exactly once, or its value is not an allowed time.
     #[error(
         "Req-Deadline is missing, repeated or unreadable: it has to be a time in seconds, at most {}",
         MAX_DEADLINE.as_secs()
     )]
     InvalidDeadline,
-    /// The class decides the method.
+    /// The method is not the one that the class requires.
     #[error("not the method of this class, which is {expected}")]
     WrongMethod {
-        /// The class's method.
+        /// The method that the class requires.
         expected: Method,
     },
-    /// A request of a keyed class has no key.
+    /// The class requires an idempotency key and the request has none.
     #[error("Idempotency-Key is missing, repeated, empty or unreadable")]
     MissingIdempotencyKey,
-    /// A request of a class without keys has one.
+    /// The class has no idempotency keys and the request has one.
     #[error("this class has no Idempotency-Key")]
     UnexpectedIdempotencyKey,
-    /// A request has a body that must not have one.
+    /// The request has a body and must not have one.
     #[error("a GET has no body")]
     UnexpectedBody,
-    /// Endpoints and logs tell requests apart by their ids.
+    /// An open request has the same `Req-Id`. Endpoints and logs distinguish requests by it.
     #[error("another open request has this Req-Id")]
     DuplicateRequestId,
-    /// The client has closed its connection: nobody reads this.
+    /// The client has closed its connection, so that this response is never read.
     #[error("the client has disconnected")]
     ClientDisconnected,
     /// The body could not be received.
@@ -64,7 +64,7 @@
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// Returns the status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             RequestError::UnknownClass => StatusCode::NOT_FOUND,
--- a/src/node/downstream/exchange.rs
+++ b/src/node/downstream/exchange.rs
@@ -1,4 +1,4 @@
-//! Handing a request to the engine, and waiting for its final answer.
+//! Hands a request to the engine and waits for the final answer.
 
 use std::rc::Rc;
 
@@ -15,31 +15,32 @@
 use crate::net::SocketObserver;
 use crate::upstream::UpstreamRequest;
 
-/// A valid request whose body is buffered, or begins to pass through.
+/// A valid request whose body is buffered completely or is streamed.
 pub struct AcceptedRequest<'a> {
-    /// As the balancer sees it.
+    /// The request as the balancer gets it.
     pub request: mothspool::Request,
-    /// As endpoints are sent it.
+    /// The request as it is sent to endpoints.
     pub upstream_request: Rc<UpstreamRequest>,
-    /// Its `Req-Id` stays claimed as long as the request is open.
+    /// Keeps the `Req-Id` claimed while the request is open.
     pub claimed_id: ClaimedRequestId<'a>,
 }
 
-/// Has the engine notified of a body that passes through: what has been forwarded cannot be sent to another
-/// endpoint, and the response time counts from the last byte.
+/// Notifies the engine of the progress of a streamed body. A request whose body has been forwarded in part
+/// cannot be sent to another endpoint, and the response time counts from the last byte of the body.
 pub fn notify_engine_of_upload(body: &RequestBody, id: RequestId, engine: &EngineHandle) {
     let RequestBody::Streamed(stream) = body else { return };
     let engine = engine.clone();
     stream.on_progress(move |progress| match progress {
         UploadProgress::Forwarding => engine.send(EngineEvent::Balancer(Event::BodyForwarded(id))),
         UploadProgress::Complete(_) => engine.send(EngineEvent::Balancer(Event::BodyCompleted(id))),
-        // `exchange` sees a failure by itself, and reports the client as disconnected.
+        // `exchange` detects a failed upload itself and reports the client as disconnected.
         UploadProgress::Buffered | UploadProgress::Failed(_) => {}
     });
 }
 
-/// Hands a request to the engine and waits for the final answer. If this ends without one, because the client
-/// has disconnected or failed to send its body, or hyper drops it, the engine is notified.
+/// Hands a request to the engine and waits for the final answer. The engine is notified if this ends without
+/// one: because the client disconnects or fails to send its body, because the shutdown deadline passes, or
+/// because hyper drops the future.
 pub async fn exchange(
     accepted: AcceptedRequest<'_>,
     observer: &SocketObserver,
@@ -68,7 +69,7 @@
     Ok(answer.map_or_else(|_| no_answer(), response_to))
 }
 
-/// Waits until the client has failed to send its body, for ever if it has not.
+/// Waits until the client fails to send its body. Never returns if the body is buffered or arrives in full.
 async fn wait_for_upload_failure(body: RequestBody) -> BodyError {
     match body {
         RequestBody::Streamed(stream) => stream.failed().await,
@@ -76,7 +77,7 @@
     }
 }
 
-/// The response that a final answer of the engine stands for.
+/// Converts a final answer of the engine into a response.
 fn response_to(answer: FinalAnswer) -> Response<ResponseBody> {
     match answer {
         FinalAnswer::Served(response) => response,
@@ -90,8 +91,8 @@
     plain(StatusCode::BAD_GATEWAY, "no answer")
 }
 
-/// While armed, notifies the engine on drop that nobody waits for the final answer any more. An attempt that
-/// runs before the engine has read that sees it in the request itself.
+/// While armed, notifies the engine on drop that the final answer is no longer needed. The same is recorded
+/// in the request itself, for attempts that run before the engine has processed the notification.
 struct DisconnectGuard<'a> {
     id: RequestId,
     upstream_request: Rc<UpstreamRequest>,
--- a/src/node/downstream/handler.rs
+++ b/src/node/downstream/handler.rs
@@ -1,4 +1,4 @@
-//! From one request to its response.
+//! Answers one request: validates it, receives its body, and returns the response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,28 +20,29 @@
 use crate::lifecycle::Lifecycle;
 use crate::net::SocketObserver;
 
-/// The `Retry-After` of a rejection because too many requests are open.
+/// `Retry-After` of requests that are rejected because too many are open.
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A response, and what has to become of its connection.
+/// A response, and what happens to its connection afterwards.
 pub struct Reply {
     pub response: Response<ResponseBody>,
     pub after_response: AfterResponse,
 }
 
-/// What has to become of a connection after a response.
+/// What happens to a connection after a response.
 pub enum AfterResponse {
-    /// Another request can follow.
+    /// The connection stays open for another request.
     KeepAlive,
-    /// It closes.
+    /// The connection closes.
     Close,
-    /// It closes, but the client may still be sending: its bytes are read for a while, so that the close does
-    /// not reset the connection before the client has the response.
+    /// The connection closes, but the client may still be sending. Its bytes are read for a limited time, so
+    /// that the close does not reset the connection before the client has received the response.
     LingeringClose,
 }
 
 impl Reply {
-    /// The response to a request with an error. Where the next request begins cannot be relied on.
+    /// Returns the reply to an invalid request. The connection closes because the node cannot rely on where
+    /// the next request begins.
     fn client_error(error: &RequestError) -> Reply {
         Reply { response: client_error(error), after_response: AfterResponse::LingeringClose }
     }
@@ -58,7 +59,7 @@
 }
 
 impl RequestHandler {
-    /// A handler that hands requests to `engine` and buffers bodies within `buffer_budget`.
+    /// Creates a handler that hands requests to `engine` and buffers bodies within `buffer_budget`.
     pub fn new(
         config: Rc<Config>,
         engine: EngineHandle,
@@ -70,7 +71,7 @@
         RequestHandler { config, engine, lifecycle, connections, buffer_budget, open_ids }
     }
 
-    /// The reply to a request whose body has to make progress by `body_deadline`.
+    /// Returns the reply to a request whose body has to make progress by `body_deadline`.
     pub async fn reply(
         &self,
         request: Request<Incoming>,
@@ -98,7 +99,7 @@
         Ok(Reply { response, after_response: AfterResponse::KeepAlive })
     }
 
-    /// The reply to a request that endpoints serve.
+    /// Forwards a request to the endpoints and returns the reply.
     async fn forward(
         &self,
         request: Request<Incoming>,
@@ -109,25 +110,25 @@
         let accepted = self.accept(request, observer, body_deadline).await?;
         let upstream_request = accepted.upstream_request.clone();
         let response = if self.lifecycle.is_past_shutdown_deadline() {
-            // Other nodes accept it at once.
+            // There is no `Retry-After`: other nodes can accept the request immediately.
             rejected(None)
         } else if self.connections.exceeds_served_limit() {
-            // Where all connections are in use, a rejection needs no endpoint and frees one.
+            // While all connections are in use, a rejection frees a connection and needs no endpoint.
             rejected(Some(OVERLOAD_RETRY_AFTER))
         } else {
             exchange(accepted, observer, &self.engine, &self.lifecycle).await?
         };
         let after_response = match upstream_request.received_at() {
             None => AfterResponse::LingeringClose,
-            // Only hyper knows where among the bytes the last chunk ended, so that the head of the next
-            // request could not be told apart.
+            // Only hyper knows at which byte the last chunk ended, so the observer could not find the head
+            // of the next request.
             Some(_) if chunked => AfterResponse::Close,
             Some(_) => AfterResponse::KeepAlive,
         };
         Ok(Reply { response, after_response })
     }
 
-    /// Validates a request and receives its body: all of it if it is small.
+    /// Validates a request and receives its body. A small body is received completely.
     async fn accept(
         &self,
         request: Request<Incoming>,
--- a/src/node/downstream/health.rs
+++ b/src/node/downstream/health.rs
@@ -1,4 +1,4 @@
-//! The health check of the front that spreads connections over the nodes.
+//! The health check for the external load balancer that distributes connections over the nodes.
 
 use hyper::{Method, Response, StatusCode};
 
@@ -6,10 +6,10 @@
 use crate::downstream::responses::plain;
 use crate::lifecycle::Lifecycle;
 
-/// The path of the health check.
+/// Path of the health check.
 pub const PATH: &str = "/_health";
 
-/// The response to a health check.
+/// Returns the response to a health check.
 pub fn respond(method: &Method, lifecycle: &Lifecycle) -> Response<ResponseBody> {
     if method != Method::GET && method != Method::HEAD {
         return plain(StatusCode::METHOD_NOT_ALLOWED, "GET only");
--- a/src/node/downstream/listener.rs
+++ b/src/node/downstream/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, and stopping to.
+//! Accepts connections until the node stops listening.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use crate::downstream::server::DownstreamServer;
 use crate::net::{DownstreamSocket, is_descriptor_limit};
 
-/// How long accepting pauses when there are no descriptors left, or no connection may be opened.
+/// Pause before the next accept when no descriptor is left or no further connection is allowed.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
-/// Once accepting is to stop, the kernel counts as having no more connections after this long without one.
+/// Once accepting has to stop, the backlog is taken to be empty after this long without a new connection.
 const LAST_ACCEPT_TIMEOUT: Duration = Duration::from_millis(20);
 
 impl DownstreamServer {
-    /// Accepts connections until `stop` is notified, then those that the kernel has accepted already: they
-    /// count as the node's.
+    /// Accepts connections until `stop` is notified, and then those that are left in the kernel's backlog.
+    /// The kernel has already accepted these, so they count as connections of this node.
     pub async fn accept(self: Rc<Self>, listener: TcpListener, stop: Rc<Notify>) {
         let mut stopping = false;
         loop {
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Waits until another connection may be opened. Until then connections wait in the kernel: to accept and
-    /// drop one would lose a request.
+    /// Waits until another connection is allowed. Until then, new connections stay in the kernel's backlog.
+    /// Accepting one and dropping it would lose a request.
     async fn wait_for_capacity(&self) {
         while !self.connections().has_capacity() {
             self.connections().close_longest_idle();
@@ -58,7 +58,7 @@
 
     /// Serves a new connection in a task of its own.
     pub fn serve(&self, stream: TcpStream) -> Rc<Connection> {
-        // Without it the connection is slower, and no less correct.
+        // A failure is ignored: without `TCP_NODELAY` the connection is slower, but still correct.
         let _ = stream.set_nodelay(true);
         let (socket, observer) = DownstreamSocket::new(stream);
         let connection = Rc::new(Connection::new(observer));
--- a/src/node/downstream/mod.rs
+++ b/src/node/downstream/mod.rs
@@ -1,9 +1,9 @@
-//! Downstream: the clients' connections, and one final response to each of their requests.
+//! Downstream: accepts the clients' connections and sends one final response to each of their requests.
 //!
-//! A connection is accepted by [`listener`], entered in the table of [`connections`] (which owns all limits
-//! and decides which idle connection closes first) and driven by [`service`]. Each request goes through
-//! [`handler`]: [`health`] checks are answered at once, all others are validated by [`request`] and handed to
-//! the engine by [`exchange`].
+//! A connection is accepted by [`listener`], added to the table in [`connections`] (which owns all limits and
+//! selects the idle connection that closes first) and served by [`service`]. Each request is answered by
+//! [`handler`]: [`health`] checks are answered immediately, all other requests are validated by [`request`]
+//! and handed to the engine by [`exchange`].
 
 mod connection;
 mod connections;
--- a/src/node/downstream/request.rs
+++ b/src/node/downstream/request.rs
@@ -1,4 +1,4 @@
-//! Parsing and validation of a request's head into typed values.
+//! Parses and validates the head of a request.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -20,27 +20,28 @@
 };
 use crate::upstream::UpstreamRequest;
 
-/// A deadline counts from the client's sending. This much of it has passed when the request is read, and
-/// passes again before the response has arrived.
+/// Part of a client's deadline that is reserved for transit. The deadline counts from when the client sends
+/// the request: some of it has passed when the node reads the request, and more passes before the response
+/// has arrived at the client.
 const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(3);
-/// The host that endpoints are given where a client names none.
+/// `Host` header of requests to endpoints, used if the client sent none.
 const DEFAULT_HOST: HeaderValue = HeaderValue::from_static("origin.svc");
 
-/// A request's head, validated.
+/// The validated head of a request.
 pub struct RequestHead {
     method: Method,
     uri: Uri,
     headers: HeaderMap,
     class: ClassRule,
     client_request_id: Box<str>,
-    /// How long the client waits, from its last byte on.
+    /// How long the client waits, counted from the last byte of its request.
     timeout: Duration,
-    /// The tenant's index in the settings, if the request names one of them.
+    /// Index of the tenant in the settings, if the request names a known tenant.
     tenant: Option<u32>,
 }
 
 impl RequestHead {
-    /// Parses and validates a head. `has_body` tells whether a body follows.
+    /// Parses and validates a head. `has_body` states whether a body follows.
     pub fn parse(parts: Parts, has_body: bool, config: &Config) -> Result<RequestHead, RequestError> {
         let Parts { method, uri, headers, .. } = parts;
         let class = find_class(&uri, config).ok_or(RequestError::UnknownClass)?;
@@ -51,18 +52,18 @@
         if method == Method::GET && has_body {
             return Err(RequestError::UnexpectedBody);
         }
-        // No client waits longer than its class allows. This bounds all work that is done for it, too.
+        // No client waits longer than its class allows. This also bounds all work on the request.
         let timeout = deadline.min(class.deadline).saturating_sub(TRANSIT_ALLOWANCE);
         let tenant = single_value(&headers, &REQ_OWNER).and_then(|name| config.tenants.get(name)).copied();
         Ok(RequestHead { method, uri, headers, class, client_request_id, timeout, tenant })
     }
 
-    /// The `Req-Id`.
+    /// Returns the `Req-Id`.
     pub fn client_request_id(&self) -> &str {
         &self.client_request_id
     }
 
-    /// The request as the balancer sees it.
+    /// Returns the request as the balancer gets it.
     pub fn balancer_request(&self, id: RequestId) -> mothspool::Request {
         mothspool::Request {
             id,
@@ -74,20 +75,21 @@
         }
     }
 
-    /// The client's estimate of the work.
+    /// Returns the client's estimate of the work, from `Req-Cost` in microseconds.
     fn expected_work(&self) -> Option<Duration> {
         let micros: f64 = single_value(&self.headers, &REQ_COST)?.parse().ok()?;
         (micros > 0.0).then_some(Duration::from_micros(micros as u64))
     }
 
-    /// A hash of what the request concerns: the last part of a path that has more than the class.
+    /// Returns a hash of the object that the request concerns. It is named by the last part of the path, if
+    /// the path has more than the class.
     fn affinity_key(&self) -> Option<u64> {
         let part = self.uri.path().split('/').skip(2).last().filter(|part| !part.is_empty())?;
         Some(xxhash_rust::xxh3::xxh3_64(part.as_bytes()))
     }
 
-    /// The request as it is sent to endpoints. `buffered_at` is when the last byte was received, if the body
-    /// is buffered.
+    /// Converts the head into the request that is sent to endpoints. `buffered_at` is the time at which the
+    /// last byte was received, if the body is buffered.
     pub fn into_upstream_request(self, body: RequestBody, buffered_at: Instant) -> UpstreamRequest {
         let target = self.uri.path_and_query().cloned().unwrap_or(PathAndQuery::from_static("/"));
         let mut headers = self.headers;
@@ -111,7 +113,8 @@
     }
 }
 
-/// Rejects a request whose end depends on who reads it.
+/// Rejects a request that has both `Transfer-Encoding` and `Content-Length`. Recipients that follow different
+/// ones disagree about where it ends.
 pub fn check_framing(headers: &HeaderMap, observer: &SocketObserver) -> Result<(), RequestError> {
     match is_chunked(headers) && observer.may_have_content_length() {
         true => Err(RequestError::AmbiguousFraming),
@@ -119,12 +122,12 @@
     }
 }
 
-/// Whether a request's body ends with its last chunk.
+/// Returns whether the body of a request is chunked, so that it ends with its last chunk.
 pub fn is_chunked(headers: &HeaderMap) -> bool {
     headers.contains_key(header::TRANSFER_ENCODING)
 }
 
-/// The class that the first part of the path names.
+/// Returns the class that the first part of the path names.
 fn find_class(uri: &Uri, config: &Config) -> Option<ClassRule> {
     let name = uri.path().split('/').nth(1)?;
     config.classes.get(name).copied()
@@ -139,7 +142,7 @@
     }
 }
 
-/// The value of a header that is there exactly once, if it is text.
+/// Returns the value of a header that is present exactly once and is text.
 fn single_value<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?;
@@ -149,7 +152,8 @@
     value.to_str().ok()
 }
 
-/// A time in seconds, with decimals. One below 0 has passed; one beyond [`MAX_DEADLINE`] is invalid.
+/// Parses a time in seconds, with decimals. A negative time counts as 0, a time above [`MAX_DEADLINE`] is
+/// invalid.
 fn parse_seconds(text: &str) -> Option<Duration> {
     let is_decimal = text.bytes().all(|b| b.is_ascii_digit() || b == b'.' || b == b'-' || b == b'+');
     if !is_decimal {
@@ -159,7 +163,8 @@
     Duration::try_from_secs_f64(seconds.max(0.0)).ok().filter(|time| *time <= MAX_DEADLINE)
 }
 
-/// The class decides the method, and whether there is an `Idempotency-Key`.
+/// Checks that the method is the one of the class, and that an `Idempotency-Key` is present if the class
+/// requires one and absent if the class is non-idempotent.
 fn check_method(class: &ClassRule, method: &Method, headers: &HeaderMap) -> Result<(), RequestError> {
     let expected = match class.idempotency {
         Idempotency::Idempotent => Method::GET,
--- a/src/node/downstream/request_ids.rs
+++ b/src/node/downstream/request_ids.rs
@@ -1,26 +1,27 @@
-//! The ids of all open requests: no two of them may be the same.
+//! The ids of all open requests, which have to be unique.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
 
-/// The longest `Req-Id`, in bytes.
+/// Maximum length of a `Req-Id`.
 pub const MAX_REQUEST_ID_BYTES: usize = 128;
 
-/// The `Req-Id` of each open request. Endpoints and logs tell requests apart by them.
+/// The `Req-Id` of each open request. Endpoints and logs distinguish requests by it.
 #[derive(Default)]
 pub struct OpenRequestIds {
     ids: RefCell<HashSet<Box<str>>>,
 }
 
 impl OpenRequestIds {
-    /// Claims an id until the returned claim is dropped; `None` if an open request has it.
+    /// Claims an id until the returned claim is dropped. Returns `None` if an open request has the id.
     pub fn claim(&self, id: &str) -> Option<ClaimedRequestId<'_>> {
         let is_new = self.ids.borrow_mut().insert(id.into());
         is_new.then(|| ClaimedRequestId { id: id.into(), open: self })
     }
 }
 
-/// The id of an open request, free again once the request is answered or its client has disconnected.
+/// The claimed id of an open request. It is released once the request is answered or its client has
+/// disconnected.
 pub struct ClaimedRequestId<'a> {
     id: Box<str>,
     open: &'a OpenRequestIds,
--- a/src/node/downstream/responses.rs
+++ b/src/node/downstream/responses.rs
@@ -1,4 +1,4 @@
-//! The responses that the node words itself.
+//! The responses that the node generates itself.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 use crate::body::ResponseBody;
 use crate::downstream::error::RequestError;
 
-/// A response of a status and a text.
+/// Returns a response with this status and this text as its body.
 pub fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::buffered(text.into(), None));
     *response.status_mut() = status;
     response
 }
 
-/// The response to a request with an error.
+/// Returns the response to an invalid request.
 pub fn client_error(error: &RequestError) -> Response<ResponseBody> {
     plain(error.status(), error.to_string())
 }
 
-/// A rejection: the request has not been executed, and the client may send it again after `retry_after`.
+/// Returns a rejection: the request was not executed, and the client may retry it after `retry_after`.
 pub fn rejected(retry_after: Option<Duration>) -> Response<ResponseBody> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
     let seconds = retry_after.map(|delay| format!("{:.3}", delay.as_secs_f64()));
@@ -31,7 +31,7 @@
     response
 }
 
-/// Makes a response the last one on its connection.
+/// Marks a response as the last one on its connection.
 pub fn closing(mut response: Response<ResponseBody>) -> Response<ResponseBody> {
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -1,4 +1,4 @@
-//! The downstream side of the node as the life cycle and the admin API see it.
+//! The interface of the downstream module to the life cycle and the admin API.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 use crate::lifecycle::{ClientConnections, Lifecycle};
 use crate::upstream::{UpstreamPool, max_connections_of};
 
-/// How often connections are checked for those that are idle for too long or stuck.
+/// Interval at which connections that have been idle for too long or are stuck are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// How often connections are checked while all of them have to close.
+/// Interval at which idle connections are closed while all connections have to close.
 const DRAIN_INTERVAL: Duration = Duration::from_millis(20);
-/// How often connections are checked in standby.
+/// Interval at which idle connections are closed in standby.
 const STANDBY_SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a connection may be idle in standby: its client may use it until then.
+/// Maximum time for which a connection stays idle in standby. Until then, its client may still use it.
 const STANDBY_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Accepts clients' connections and serves their requests.
@@ -34,7 +34,7 @@
 }
 
 impl DownstreamServer {
-    /// A server without connections, which hands requests to `engine`.
+    /// Creates a server without connections that hands requests to `engine`.
     pub fn new(
         config: Rc<Config>,
         engine: EngineHandle,
@@ -72,8 +72,8 @@
         &self.service
     }
 
-    /// Closes connections while the node is in standby, each once it has been idle for a while. Those in use
-    /// close with their responses.
+    /// Closes connections that have been idle for [`STANDBY_IDLE_TIMEOUT`] while the node is in standby.
+    /// Connections in use close with their responses.
     pub async fn run_standby_drain(&self) {
         loop {
             self.lifecycle.wait_for_standby().await;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, and cuts off those that are stuck.
+    /// Closes connections that have been idle for [`REQUEST_TIMEOUT`], and aborts those that are stuck.
     pub async fn run_idle_sweep(&self) {
         loop {
             sleep(SWEEP_INTERVAL).await;
--- a/src/node/downstream/service.rs
+++ b/src/node/downstream/service.rs
@@ -1,4 +1,4 @@
-//! Driving one connection: hyper's side of it, and closing it in time.
+//! Serves the requests on one connection with hyper, and closes the connection in time.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -23,13 +23,13 @@
     handler: RequestHandler,
     connections: Rc<ConnectionTable>,
     lifecycle: Rc<Lifecycle>,
-    /// How many bytes a connection may buffer.
+    /// Maximum number of bytes that a connection buffers in each direction.
     buffer_size: usize,
 }
 
 impl ConnectionService {
-    /// A service that answers through `handler`, on connections that buffer `buffer_size` bytes in each
-    /// direction.
+    /// Creates a service that answers requests with `handler`, on connections that buffer up to `buffer_size`
+    /// bytes in each direction.
     pub fn new(
         handler: RequestHandler,
         connections: Rc<ConnectionTable>,
@@ -39,20 +39,21 @@
         ConnectionService { handler, connections, lifecycle, buffer_size }
     }
 
-    /// Serves a connection to its end.
+    /// Serves a connection until it closes.
     pub async fn serve(self: &Rc<Self>, connection: &Rc<Connection>, socket: DownstreamSocket) {
         let service = service_fn(|request| {
             let (service, connection) = (self.clone(), connection.clone());
             async move { Ok::<_, Infallible>(service.respond(request, &connection).await) }
         });
         let mut builder = http1::Builder::new();
-        // hyper would time a head from the last response on. The sweep times it from its first byte.
+        // hyper would start the timeout of a head at the previous response. The sweep starts it at the first
+        // byte of the head.
         builder.header_read_timeout(None).max_buf_size(self.buffer_size);
         let mut serving = pin!(builder.serve_connection(TokioIo::new(socket), service));
         loop {
             tokio::select! {
-                // What can be read is read before the connection is closed: it may be the request, or the end
-                // of one, that had not arrived when the close was requested.
+                // Available bytes are read before the connection is closed. They may be a request, or the
+                // end of one, that had not arrived when the close was requested.
                 biased;
                 _ = serving.as_mut() => return,
                 () = connection.abort_requested() => {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The response to one request. The request counts as open until hyper has taken the last of it.
+    /// Answers one request. The request counts as open until hyper has taken the last bytes of the response.
     async fn respond(
         &self,
         request: Request<Incoming>,
@@ -92,7 +93,7 @@
         response.map(|body| body.with_guard(guard))
     }
 
-    /// Whether a connection has to close with its response, whatever the request was.
+    /// Returns whether a connection has to close with its response, regardless of the request.
     fn must_close(&self, connection: &Connection) -> bool {
         self.connections.exceeds_keep_alive_limit()
             || connection.is_closing()
--- a/tests/unit/downstream.rs
+++ b/tests/unit/downstream.rs
@@ -1,4 +1,4 @@
-//! Unit tests of downstream connections: requests that cross a close or a cut.
+//! Unit tests of downstream connections: requests that arrive while their connection is closed or aborted.
 
 use std::io::{Read, Write};
 use std::net::TcpStream as BlockingStream;
@@ -16,10 +16,10 @@
 use crate::upstream::UpstreamPool;
 
 const HEALTH_CHECK: &[u8] = b"GET /_health HTTP/1.1\r\nHost: n\r\n\r\n";
-/// How many bytes of the health check are sent when the connection is about to end.
-const FIRST_BYTES: usize = 9;
+/// Number of bytes of the health check that are sent while its connection is asked to end.
+const FIRST_PART_BYTES: usize = 9;
 
-fn server() -> DownstreamServer {
+fn new_server() -> DownstreamServer {
     let config = config();
     let buffer_budget = BufferBudget::new(config.limits.memory);
     let upstream = Rc::new(UpstreamPool::new(&config, buffer_budget.clone()));
@@ -28,8 +28,8 @@
     DownstreamServer::new(config, engine, upstream, lifecycle, buffer_budget)
 }
 
-/// A client whose connection was kept alive and is idle, and that connection.
-async fn idle_connection(server: &DownstreamServer) -> (BlockingStream, Rc<Connection>) {
+/// Returns a client whose connection was kept alive and is idle, and that connection.
+async fn open_idle_connection(server: &DownstreamServer) -> (BlockingStream, Rc<Connection>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut client = BlockingStream::connect(listener.local_addr().unwrap()).unwrap();
     let connection = server.serve(listener.accept().await.unwrap().0);
@@ -41,30 +41,30 @@
     (client, connection)
 }
 
-/// What a client receives whose connection `end` asks to end while the client's request is on its way: the kernel is
-/// polled before the connection's task runs, as happens under load.
+/// Returns what a client receives if `end` asks its connection to end while the client's request is on its
+/// way. The kernel is polled before the connection's task runs, as happens under load.
 fn response_to_request_during(end: impl FnOnce(&DownstreamServer, &Connection)) -> String {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
-        let server = server();
-        let (mut client, connection) = idle_connection(&server).await;
-        // More tasks than run between two polls of the kernel.
+        let server = new_server();
+        let (mut client, connection) = open_idle_connection(&server).await;
+        // More tasks than the runtime runs between two polls of the kernel.
         (0..200).for_each(|_| drop(spawn_local(async {})));
         end(&server, &connection);
-        client.write_all(&HEALTH_CHECK[..FIRST_BYTES]).unwrap();
+        client.write_all(&HEALTH_CHECK[..FIRST_PART_BYTES]).unwrap();
         while !connection.observer().has_request_started() && !server.connections().is_empty() {
             yield_now().await;
         }
-        let _ = client.write_all(&HEALTH_CHECK[FIRST_BYTES..]);
-        // The socket is closed by its last owner.
+        let _ = client.write_all(&HEALTH_CHECK[FIRST_PART_BYTES..]);
+        // The socket closes once its last owner is dropped.
         drop(connection);
         client.set_nonblocking(true).unwrap();
-        read_some(TcpStream::from_std(client).unwrap()).await
+        read_first_bytes(TcpStream::from_std(client).unwrap()).await
     })
 }
 
-/// The first bytes that a client reads; none where its connection was closed or reset.
-async fn read_some(client: TcpStream) -> String {
+/// Returns the first bytes that a client reads, or an empty string if its connection was closed or reset.
+async fn read_first_bytes(client: TcpStream) -> String {
     let mut response = vec![0; 1024];
     let length = loop {
         client.readable().await.unwrap();
@@ -78,14 +78,15 @@
 }
 
 #[test]
-fn a_request_that_begins_as_its_connection_is_asked_to_close_is_answered() {
+fn a_request_that_begins_while_its_connection_is_asked_to_close_is_answered() {
     let response = response_to_request_during(|server, connection| server.connections().close(connection));
     assert!(response.starts_with("HTTP/1.1 "), "{response:?}");
 }
 
-/// As when the rest of a slow head arrives between the sweep that found it late and the cut.
+/// The rest of a slow head can arrive after the sweep has found the connection stuck and before the
+/// connection is aborted.
 #[test]
-fn a_connection_that_is_no_longer_stuck_is_not_cut_off() {
+fn a_connection_that_is_no_longer_stuck_is_not_aborted() {
     let response = response_to_request_during(|_, connection| connection.request_abort());
     assert!(response.starts_with("HTTP/1.1 "), "{response:?}");
 }
