--- a/tests/node/client_disconnects.rs
+++ b/tests/node/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect while their requests wait: nothing of those is sent any more.
+//! Clients that disconnect while their requests wait: these requests are not sent to an endpoint any more.
 
 use std::io::Write;
 use std::net::TcpListener;
@@ -9,7 +9,7 @@
 
 use crate::support::*;
 
-/// How a client disconnects.
+/// How a client closes its connection.
 #[derive(Clone, Copy, Debug)]
 enum Disconnect {
     Close,
@@ -18,35 +18,37 @@
 
 const ALL_DISCONNECTS: [Disconnect; 2] = [Disconnect::Close, Disconnect::Reset];
 
-fn disconnect(client: Connection, how: Disconnect) {
-    if matches!(how, Disconnect::Reset) {
+fn disconnect(client: Connection, kind: Disconnect) {
+    if matches!(kind, Disconnect::Reset) {
         SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).unwrap();
     }
     drop(client);
 }
 
-/// How many requests an endpoint gets at a node that has learned nothing yet; further ones are queued.
+/// Concurrency limit of an endpoint at a node that has just started. Further requests are queued.
 const INITIAL_CONCURRENCY_LIMIT: usize = 2;
 
-fn listener() -> TcpListener {
+fn bind_listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-/// What clients send after a request before they disconnect.
+/// Returns what clients send after a request and before they disconnect, each with its description.
 fn trailing_bytes() -> [(&'static str, Vec<u8>); 4] {
     [
         ("nothing", Vec::new()),
         ("a byte", b"G".to_vec()),
         ("a request", view_request()),
-        ("much", vec![b'x'; UNREAD_BODY_BYTES]),
+        ("many bytes", vec![b'x'; UNREAD_BODY_BYTES]),
     ]
 }
 
-/// How much of a body clients send before they disconnect. The kernel's receive buffer has to hold what the node does
-/// not read: behind bytes that do not fit, the client's FIN is not sent, and nothing could notice the disconnect.
+/// Number of bytes of a body that clients send before they disconnect. The kernel's receive buffer has to
+/// hold what the node does not read: after bytes that do not fit, the client's FIN is not sent, and the node
+/// could not notice the disconnect.
 const UNREAD_BODY_BYTES: usize = 48 << 10;
 
-/// The head and a part of a body that is too large to buffer: the rest is not read until an endpoint gets it.
+/// Returns a head and a part of its body, which is too large to buffer. The node does not read the rest of
+/// the body until an endpoint gets it.
 fn partial_upload(id: &str) -> Vec<u8> {
     let head = format!(
         "POST /submit/7f3a HTTP/1.1\r\nHost: n\r\nReq-Id: {id}\r\nReq-Deadline: 14.0\r\n\
@@ -55,7 +57,7 @@
     [head.into_bytes(), vec![b'u'; UNREAD_BODY_BYTES]].concat()
 }
 
-/// A request with a complete body that is too large to buffer.
+/// Returns a request with a complete body that is too large to buffer.
 fn complete_upload(chunked: bool) -> Vec<u8> {
     let body = "u".repeat(300_000);
     let (framing, body) = match chunked {
@@ -72,81 +74,84 @@
 
 #[test]
 fn a_queued_request_is_dropped_when_its_client_disconnects() {
-    let a = listener();
-    let node = Node::start(&[listening_endpoint("a", &a, "ready")]);
+    let listener = bind_listener();
+    let node = Node::start(&[listening_endpoint("a", &listener, "ready")]);
     Watch::accept(&node.discovery).keep_alive();
-    let mut pending = start_pending_requests(&node, slice::from_ref(&a), INITIAL_CONCURRENCY_LIMIT);
+    let mut pending = start_pending_requests(&node, slice::from_ref(&listener), INITIAL_CONCURRENCY_LIMIT);
     let before = node.open_descriptors();
-    for how in ALL_DISCONNECTS {
-        for (what, bytes) in trailing_bytes() {
+    for kind in ALL_DISCONNECTS {
+        for (trailing, bytes) in trailing_bytes() {
             let mut client = node.client();
             client.send(&view_request());
             client.send(&bytes);
             wait_for_descriptors(&node, before + 1);
-            disconnect(client, how);
-            wait_until_descriptors_closed(&node, before, &format!("{what}, {how:?}"));
+            disconnect(client, kind);
+            wait_until_descriptors_closed(&node, before, &format!("{trailing}, {kind:?}"));
         }
         let mut client = node.client();
         client.send(&partial_upload("9b1f03bb00000001"));
         wait_for_descriptors(&node, before + 1);
-        disconnect(client, how);
-        wait_until_descriptors_closed(&node, before, &format!("half a body, {how:?}"));
+        disconnect(client, kind);
+        wait_until_descriptors_closed(&node, before, &format!("half a body, {kind:?}"));
     }
-    // With capacity again, the next request is the next one sent, and on these connections.
+    // Once there is capacity again, the next request that is sent is that of the new client. It is sent on
+    // one of these connections.
     pending.iter_mut().for_each(|exchange| exchange.complete("", "slip"));
     pause_before_reuse();
-    let mut last = node.client();
-    last.send(&request_with_id("9b1f03bb000000ff", "GET", "/view/1", "14.0", "", ""));
+    let mut last_client = node.client();
+    last_client.send(&request_with_id("9b1f03bb000000ff", "GET", "/view/1", "14.0", "", ""));
     let connection = &mut pending[1].upstream;
     assert_eq!(connection.receive().header("req-id"), Some("9b1f03bb000000ff"));
     connection.send(&response(200, "", "last"));
-    assert_eq!(last.receive().body, b"last");
-    a.set_nonblocking(true).unwrap();
-    assert!(a.accept().is_err(), "a connection was opened for a request without a client");
+    assert_eq!(last_client.receive().body, b"last");
+    listener.set_nonblocking(true).unwrap();
+    assert!(listener.accept().is_err(), "a connection was opened for a request without a client");
 }
 
-/// The close of a connection comes after its bytes, and those of a body too large to buffer stay unread until an
-/// endpoint gets it.
+/// The close of a connection follows its bytes, and those of a body that is too large to buffer stay in the
+/// kernel until an endpoint gets the body. The node must not send the whole request all the same.
 #[test]
-fn a_buffered_body_of_a_disconnected_client_is_not_completed() {
+fn an_unread_body_of_a_disconnected_client_is_not_sent_completely() {
     for chunked in [false, true] {
-        let a = listener();
-        let node = Node::start(&[listening_endpoint("a", &a, "ready")]);
+        let listener = bind_listener();
+        let node = Node::start(&[listening_endpoint("a", &listener, "ready")]);
         Watch::accept(&node.discovery).keep_alive();
-        let mut pending = start_pending_requests(&node, slice::from_ref(&a), INITIAL_CONCURRENCY_LIMIT);
+        let mut pending =
+            start_pending_requests(&node, slice::from_ref(&listener), INITIAL_CONCURRENCY_LIMIT);
         let before = node.open_descriptors();
         let mut client = node.client();
         client.send(&complete_upload(chunked));
         wait_for_descriptors(&node, before + 1);
         disconnect(client, Disconnect::Close);
         pause_before_reuse();
-        let mut last = node.client();
+        let mut last_client = node.client();
         let id = format!("9b1f03bb000000f{}", u8::from(chunked));
-        // Of the same class, so that it is queued behind the other.
-        last.send(&request_with_id(&id, "POST", "/order/1", "14.0", "", "yen"));
+        // The request has the same class as the upload, so that it is queued after it.
+        last_client.send(&request_with_id(&id, "POST", "/order/1", "14.0", "", "yen"));
         pending.iter_mut().for_each(|exchange| exchange.complete("Connection: close\r\n", "slip"));
-        // A truncated request is none.
+        // Connections that end before a request is complete are skipped.
         let (mut connection, request) = loop {
-            let mut connection = Connection::from_stream(accept_connection(&a));
+            let mut connection = Connection::from_stream(accept_connection(&listener));
             if let Some(request) = connection.try_receive() {
                 break (connection, request);
             }
         };
         assert_eq!(request.header("req-id"), Some(&id[..]));
         connection.send(&response(200, "Connection: close\r\n", "last"));
-        assert_eq!(last.receive().body, b"last");
-        drop((pending, last));
+        assert_eq!(last_client.receive().body, b"last");
+        drop((pending, last_client));
         wait_until_descriptors_closed(&node, before - 4, "the client of the body");
     }
 }
 
-/// A request that its endpoint has not got completely was not executed: its attempt ends with its client even where
-/// attempts may not be cancelled. A chunked body has no length to fall short of: only its last chunk ends it.
+/// An endpoint does not execute a request that it has not received completely, so the attempt ends when the
+/// client disconnects, even if attempts may not be cancelled. The body is chunked: it states no length that
+/// would show that it is truncated, and only its last chunk ends it.
 #[test]
-fn a_partially_sent_attempt_ends_with_its_client() {
+fn a_partially_sent_attempt_ends_when_its_client_disconnects() {
     for cancelling in [true, false] {
-        let a = listener();
-        let node = Node::with_config(&[listening_endpoint("a", &a, "ready")], |config| {
+        let listener = bind_listener();
+        let node = Node::with_config(&[listening_endpoint("a", &listener, "ready")], |config| {
             config["settings"]["allowed"]["cancelling"] = cancelling.into();
         });
         Watch::accept(&node.discovery).keep_alive();
@@ -154,11 +159,11 @@
         let mut client = node.client();
         let head = String::from_utf8(request("POST", "/order/1", "14.0", "", "")).unwrap();
         client.send(head.replace("Content-Length: 0", "Transfer-Encoding: chunked").as_bytes());
-        // The endpoint reads nothing yet, so the node reads no more of the body than fits its buffers.
+        // The endpoint reads nothing yet, so the node reads only as much of the body as fits its buffers.
         let chunk = [&b"10000\r\n"[..], &[b'u'; 0x10000], b"\r\n"].concat();
         client.stream.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
         while client.stream.write_all(&chunk).is_ok() {}
-        let mut connection = Connection::from_stream(accept_connection(&a));
+        let mut connection = Connection::from_stream(accept_connection(&listener));
         disconnect(client, Disconnect::Reset);
         wait_until_descriptors_closed(&node, before, "the client that disconnected");
         assert!(connection.try_receive().is_none(), "cancelling {cancelling}: it arrived completely");
@@ -167,53 +172,56 @@
 
 #[test]
 fn a_request_waiting_for_a_connection_is_dropped_when_its_client_disconnects() {
-    // Also where attempts may not be cancelled: nothing of it was written.
+    // This also applies if attempts may not be cancelled, because no byte of the request was written.
     for cancelling in [true, false] {
-        let (a, backlog) = listener_with_full_backlog();
-        let node = Node::with_config(&[listening_endpoint("a", &a, "ready")], |config| {
+        let (listener, backlog) = listener_with_full_backlog();
+        let node = Node::with_config(&[listening_endpoint("a", &listener, "ready")], |config| {
             config["settings"]["allowed"]["cancelling"] = cancelling.into();
             config["settings"]["allowed"]["connect_timeout_us"] = 10_000_000.into();
         });
         Watch::accept(&node.discovery).keep_alive();
         let before = node.open_descriptors();
-        for how in ALL_DISCONNECTS {
-            for (what, bytes) in trailing_bytes() {
+        for kind in ALL_DISCONNECTS {
+            for (trailing, bytes) in trailing_bytes() {
                 let mut client = node.client();
                 client.send(&order_request());
                 client.send(&bytes);
-                // The client's connection and the one that is not established.
+                // The client's connection, and the upstream connection that is not established yet.
                 wait_for_descriptors(&node, before + 2);
-                disconnect(client, how);
+                disconnect(client, kind);
                 wait_until_descriptors_closed(
                     &node,
                     before,
-                    &format!("{what}, {how:?}, cancelling {cancelling}"),
+                    &format!("{trailing}, {kind:?}, cancelling {cancelling}"),
                 );
             }
         }
         for _ in &backlog {
-            drop(accept_connection(&a));
+            drop(accept_connection(&listener));
         }
-        let mut last = node.client();
-        last.send(&request_with_id("9b1f03bb000000ff", "GET", "/view/1", "14.0", "", ""));
-        let (mut connection, request) = accept_request(&a);
+        let mut last_client = node.client();
+        last_client.send(&request_with_id("9b1f03bb000000ff", "GET", "/view/1", "14.0", "", ""));
+        let (mut connection, request) = accept_request(&listener);
         assert_eq!(request.header("req-id"), Some("9b1f03bb000000ff"));
         connection.send(&response(200, "", "last"));
-        assert_eq!(last.receive().body, b"last");
-        a.set_nonblocking(true).unwrap();
-        assert!(a.accept().is_err(), "a connection was opened for a request without a client");
+        assert_eq!(last_client.receive().body, b"last");
+        listener.set_nonblocking(true).unwrap();
+        assert!(listener.accept().is_err(), "a connection was opened for a request without a client");
     }
 }
 
 #[test]
 fn a_request_waiting_for_a_descriptor_is_dropped_when_its_client_disconnects() {
-    let listeners: Vec<TcpListener> = (0..4).map(|_| listener()).collect();
-    let endpoints: Vec<_> =
-        (0..).zip(&listeners).map(|(n, l)| listening_endpoint(&format!("s{n}"), l, "ready")).collect();
-    // Two of 36 descriptors are for upstream connections; or the process has no more.
+    let listeners: Vec<TcpListener> = (0..4).map(|_| bind_listener()).collect();
+    let endpoints: Vec<_> = (0..)
+        .zip(&listeners)
+        .map(|(n, listener)| listening_endpoint(&format!("s{n}"), listener, "ready"))
+        .collect();
+    // In the first case only 2 of the 36 descriptors are for upstream connections. In the second case the
+    // process has no descriptor left.
     for (sockets, exhausted) in [(36, false), (1024, true)] {
-        for how in ALL_DISCONNECTS {
-            for (what, bytes) in trailing_bytes() {
+        for kind in ALL_DISCONNECTS {
+            for (trailing, bytes) in trailing_bytes() {
                 let node = Node::with_config(&endpoints, |config| {
                     config["limits"]["sockets"] = sockets.into();
                     config["settings"]["allowed"]["cancelling"] = false.into();
@@ -230,19 +238,19 @@
                 client.send(&order_request());
                 client.send(&bytes);
                 wait_for_descriptors(&node, before + 1);
-                // By now it has been read, and waits.
+                // After this pause the node has read the request, which now waits.
                 pause_before_reuse();
-                disconnect(client, how);
+                disconnect(client, kind);
                 wait_until_descriptors_closed(
                     &node,
                     before,
-                    &format!("{what}, {how:?}, exhausted {exhausted}"),
+                    &format!("{trailing}, {kind:?}, exhausted {exhausted}"),
                 );
                 let mut first = pending.remove(0);
                 first.complete("Connection: close\r\n", "slip");
                 drop(first);
-                let mut last = node.client();
-                last.send(&request_with_id("9b1f03bb000000ff", "POST", "/order/1", "14.0", "", "yen"));
+                let mut last_client = node.client();
+                last_client.send(&request_with_id("9b1f03bb000000ff", "POST", "/order/1", "14.0", "", "yen"));
                 assert_eq!(accept_request_from_any(&listeners).1.header("req-id"), Some("9b1f03bb000000ff"));
             }
         }
@@ -251,13 +259,15 @@
 
 #[test]
 fn a_request_waiting_for_a_retry_is_dropped_when_its_client_disconnects() {
-    for how in ALL_DISCONNECTS {
-        for (what, bytes) in trailing_bytes() {
-            let (a, b) = (listener(), listener());
-            let node =
-                Node::start(&[listening_endpoint("a", &a, "ready"), listening_endpoint("b", &b, "ready")]);
+    for kind in ALL_DISCONNECTS {
+        for (trailing, bytes) in trailing_bytes() {
+            let (first_listener, second_listener) = (bind_listener(), bind_listener());
+            let node = Node::start(&[
+                listening_endpoint("a", &first_listener, "ready"),
+                listening_endpoint("b", &second_listener, "ready"),
+            ]);
             let mut watch = Watch::accept(&node.discovery);
-            // Two at each endpoint use up the capacity of both.
+            // Two requests at each endpoint use up the concurrency limits of both.
             let mut clients: Vec<(String, Connection)> = (0..4)
                 .map(|n| {
                     let id = format!("9b1f03cc{n:08x}");
@@ -266,60 +276,61 @@
                     (id, client)
                 })
                 .collect();
-            let ((mut at_a, rejected), (_kept, _)) = (accept_request(&a), accept_request(&a));
-            let (mut at_b, answered) = accept_request(&b);
-            let (_other, _) = accept_request(&b);
+            let ((mut first_upstream, rejected), (_first_pending, _)) =
+                (accept_request(&first_listener), accept_request(&first_listener));
+            let (mut second_upstream, answered) = accept_request(&second_listener);
+            let (_second_pending, _) = accept_request(&second_listener);
             let before = node.open_descriptors();
-            // The endpoint drains and rejects its request, which waits for the other endpoint.
-            watch.send_delta(42, &[listening_endpoint("a", &a, "draining")]);
+            // The first endpoint drains and rejects its request, which then waits for the second endpoint.
+            watch.send_delta(42, &[listening_endpoint("a", &first_listener, "draining")]);
             watch.keep_alive();
-            at_a.send(&response(503, "Srv-Declined: 1\r\nConnection: close\r\n", ""));
-            assert!(at_a.reaches_close());
-            drop(at_a);
+            first_upstream.send(&response(503, "Srv-Declined: 1\r\nConnection: close\r\n", ""));
+            assert!(first_upstream.reaches_close());
+            drop(first_upstream);
             wait_until_descriptors_closed(&node, before - 1, "a connection that was closed");
-            let at = clients.iter().position(|(id, _)| rejected.header("req-id") == Some(id)).unwrap();
-            let (_, mut client) = clients.remove(at);
+            let index = clients.iter().position(|(id, _)| rejected.header("req-id") == Some(id)).unwrap();
+            let (_, mut client) = clients.remove(index);
             client.send(&bytes);
-            disconnect(client, how);
-            wait_until_descriptors_closed(&node, before - 2, &format!("{what}, {how:?}"));
-            at_b.send(&response(200, "", "slip"));
-            let at = clients.iter().position(|(id, _)| answered.header("req-id") == Some(id)).unwrap();
-            assert_eq!(clients[at].1.receive().body, b"slip");
+            disconnect(client, kind);
+            wait_until_descriptors_closed(&node, before - 2, &format!("{trailing}, {kind:?}"));
+            second_upstream.send(&response(200, "", "slip"));
+            let index = clients.iter().position(|(id, _)| answered.header("req-id") == Some(id)).unwrap();
+            assert_eq!(clients[index].1.receive().body, b"slip");
             pause_before_reuse();
-            let mut last = node.client();
-            last.send(&request_with_id("9b1f03cc000000ff", "GET", "/view/1", "14.0", "", ""));
-            assert_eq!(at_b.receive().header("req-id"), Some("9b1f03cc000000ff"));
+            let mut last_client = node.client();
+            last_client.send(&request_with_id("9b1f03cc000000ff", "GET", "/view/1", "14.0", "", ""));
+            assert_eq!(second_upstream.receive().header("req-id"), Some("9b1f03cc000000ff"));
         }
     }
 }
 
 #[test]
-fn surplus_bytes_do_not_hide_a_disconnect() {
-    let a = listener();
-    let node = Node::start(&[listening_endpoint("a", &a, "ready")]);
-    for how in ALL_DISCONNECTS {
+fn trailing_bytes_do_not_hide_a_disconnect() {
+    let listener = bind_listener();
+    let node = Node::start(&[listening_endpoint("a", &listener, "ready")]);
+    for kind in ALL_DISCONNECTS {
         for (_, bytes) in trailing_bytes() {
             let mut client = node.client();
             client.send(&order_request());
-            let (mut connection, _) = accept_request(&a);
+            let (mut connection, _) = accept_request(&listener);
             client.send(&bytes);
-            disconnect(client, how);
+            disconnect(client, kind);
             assert!(connection.reaches_close());
         }
     }
 }
 
-/// No descriptor is left, and all connections wait for an endpoint that does not respond.
+/// No descriptor is left, and the requests of all connections wait for an endpoint that does not respond.
 #[test]
 fn disconnects_release_descriptors_when_none_are_left() {
-    let a = listener();
-    let node = Node::with_descriptor_limit(&[listening_endpoint("a", &a, "ready")], 48);
-    for how in ALL_DISCONNECTS {
-        let mut crowd: Vec<Connection> = (0..100).map(|_| node.client()).collect();
-        crowd.iter_mut().for_each(|client| client.send(&view_request()));
+    let listener = bind_listener();
+    let node = Node::with_descriptor_limit(&[listening_endpoint("a", &listener, "ready")], 48);
+    for kind in ALL_DISCONNECTS {
+        let mut clients: Vec<Connection> = (0..100).map(|_| node.client()).collect();
+        clients.iter_mut().for_each(|client| client.send(&view_request()));
         wait_for_descriptors(&node, 47);
-        crowd.into_iter().for_each(|client| disconnect(client, how));
-        wait_until_descriptors_closed(&node, 24, &format!("{how:?}"));
+        clients.into_iter().for_each(|client| disconnect(client, kind));
+        wait_until_descriptors_closed(&node, 24, &format!("{kind:?}"));
         assert_eq!(node.health(), 200);
     }
 }
--- a/tests/node/forwarding.rs
+++ b/tests/node/forwarding.rs
@@ -1,4 +1,4 @@
-//! What is forwarded between client and endpoint.
+//! Forwarding of requests and responses between clients and endpoints.
 
 use crate::support::*;
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn expect_100_continue_is_answered() {
+fn answers_expect_100_continue() {
     let upstream =
         UpstreamServer::new(|_, request| Reply::Send(response(200, "", &request.body.len().to_string())));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
--- a/tests/node/request_validation.rs
+++ b/tests/node/request_validation.rs
@@ -1,11 +1,11 @@
-//! Requests that are rejected as invalid.
+//! Validation of requests: invalid ones get a client error and are not forwarded.
 
 use std::io::Write;
 
 use crate::support::*;
 
 #[test]
-fn invalid_requests_get_a_client_error_and_are_never_forwarded() {
+fn invalid_requests_get_a_client_error_and_are_not_forwarded() {
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let without = |bytes: Vec<u8>, header: &str| {
@@ -21,8 +21,11 @@
         ("a deadline in words", request("GET", "/view/1", "soon", "", "")),
         ("an infinite deadline", request("GET", "/view/1", "inf", "", "")),
         ("a deadline that is not a number", request("GET", "/view/1", "NaN", "", "")),
-        ("a deadline beyond any clock", request("GET", "/view/1", "99999999999999999999999", "", "")),
-        ("a deadline past a day", request("POST", "/order/1", "86401", "", "x")),
+        (
+            "a deadline that no clock can represent",
+            request("GET", "/view/1", "99999999999999999999999", "", ""),
+        ),
+        ("a deadline of more than a day", request("POST", "/order/1", "86401", "", "x")),
         ("two ids", request("GET", "/view/1", "1", "Req-Id: 2\r\n", "")),
         ("an unknown class", request("GET", "/other/1", "1", "", "")),
         ("no class", request("GET", "/", "1", "", "")),
@@ -42,7 +45,7 @@
         assert!((400..500).contains(&status) && status != 429, "{case}: {status}");
     }
     assert_eq!(node.client().exchange(&view_request()).status(), 200);
-    assert_eq!(upstream.request_count(), 1, "only the valid one was forwarded");
+    assert_eq!(upstream.request_count(), 1, "only the valid request is forwarded");
 }
 
 #[test]
@@ -56,10 +59,10 @@
     };
     let chunk = format!("0\r\n\r\n{smuggled}");
     let both = format!("Content-Length: {}\r\nTransfer-Encoding: chunked\r\n", chunk.len());
-    let other = format!("transfer-encoding: chunked\r\nCONTENT-LENGTH: {}\r\n", chunk.len());
+    let both_in_other_case = format!("transfer-encoding: chunked\r\nCONTENT-LENGTH: {}\r\n", chunk.len());
     let invalid = [
         format!("{}{chunk}", head(&both)),
-        format!("{}{chunk}", head(&other)),
+        format!("{}{chunk}", head(&both_in_other_case)),
         format!("{}{chunk}", head(&both).replace("\r\n", "\n")),
         format!("{}yen{smuggled}", head("Content-Length: 3\r\nContent-Length: 4\r\n")),
         format!("{}yen{smuggled}", head("Content-Length: -3\r\n")),
@@ -73,12 +76,12 @@
         assert!(client.is_closed(), "{number}: the bytes that follow are not read");
     }
     assert_eq!(upstream.request_count(), 0);
-    // The same behind a valid request; a chunked body alone is valid.
+    // The same request is also rejected after a valid one. A chunked body without a Content-Length is valid.
     let mut client = node.client();
     client.send(format!("{smuggled}{}", invalid[0]).as_bytes());
     assert_eq!((client.receive().status(), client.receive().status()), (200, 400));
-    let alone = format!("{}3\r\nyen\r\n0\r\n\r\n", head("Transfer-Encoding: chunked\r\n"));
-    assert_eq!(node.client().exchange(alone.as_bytes()).status(), 200);
+    let only_chunked = format!("{}3\r\nyen\r\n0\r\n\r\n", head("Transfer-Encoding: chunked\r\n"));
+    assert_eq!(node.client().exchange(only_chunked.as_bytes()).status(), 200);
     upstream.next_request();
     assert_eq!((&upstream.next_request().1.body[..], upstream.request_count()), (&b"yen"[..], 2));
 }
@@ -88,12 +91,12 @@
     let upstream = UpstreamServer::new(|_, _| ok("paid"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let text = String::from_utf8(order_request()).unwrap();
-    let plain = text.replace("Content-Length: 3", "Content-Length: 60000000");
-    let chunks =
+    let with_length = text.replace("Content-Length: 3", "Content-Length: 60000000");
+    let chunked =
         text.replace("Content-Length: 3", "Transfer-Encoding: chunked").replace("\r\nyen", "\r\n4000000\r\n");
-    for (head, length) in [(plain.replace("\r\nyen", "\r\n"), 600_000), (chunks, 34_000_000)] {
+    for (head, length) in [(with_length.replace("\r\nyen", "\r\n"), 600_000), (chunked, 34_000_000)] {
         let mut client = node.client();
-        // The client goes on sending although the response has arrived.
+        // The client continues to send after the response has arrived.
         client.stream.write_all(head.as_bytes()).unwrap();
         client.stream.write_all(&vec![b'x'; length]).unwrap();
         assert_eq!(client.receive().status(), 413);
@@ -103,23 +106,23 @@
 }
 
 #[test]
-fn a_request_id_is_unique_among_active_requests() {
+fn rejects_the_request_id_of_an_open_request() {
     let upstream = UpstreamServer::new(|count, _| if count == 0 { Reply::Never } else { ok("slip") });
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
-    let same = request_with_id("9b1f03aa5c7e2d41", "GET", "/view/1", "14", "", "");
+    let request = request_with_id("9b1f03aa5c7e2d41", "GET", "/view/1", "14", "", "");
     let mut first = node.client();
-    first.send(&same);
+    first.send(&request);
     let (connection, _) = upstream.next_request();
-    assert_eq!(node.client().exchange(&same).status(), 409);
+    assert_eq!(node.client().exchange(&request).status(), 409);
     assert_eq!(upstream.request_count(), 1);
-    // Once its client has disconnected, the id is free again.
+    // The id can be used again once the client of the open request has disconnected.
     drop(first);
     assert_eq!(upstream.next_closed_connection(), connection);
-    assert_eq!(node.client().exchange(&same).status(), 200);
+    assert_eq!(node.client().exchange(&request).status(), 200);
 }
 
 #[test]
-fn an_unknown_tenant_counts_as_none() {
+fn a_request_of_an_unknown_tenant_is_served() {
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let text = String::from_utf8(view_request()).unwrap().replace("acme", "stranger");
--- a/tests/node/slow_peers.rs
+++ b/tests/node/slow_peers.rs
@@ -1,4 +1,4 @@
-//! Slow and stalled peers.
+//! Slow and stalled clients and endpoints.
 
 use std::io::Read;
 use std::thread;
@@ -11,23 +11,26 @@
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let started = Instant::now();
-    let (mut silent, mut slow, mut half, mut once) =
+    let (mut silent, mut slow, mut incomplete, mut idle) =
         (node.client(), node.client(), node.client(), node.client());
     slow.send(b"GET /view/1 HTTP/1.1\r\nHost: o");
-    half.send(&order_request()[..order_request().len() - 1]);
-    assert_eq!(once.exchange(&view_request()).status(), 200);
-    assert_eq!(half.receive().status(), 408);
+    incomplete.send(&order_request()[..order_request().len() - 1]);
+    assert_eq!(idle.exchange(&view_request()).status(), 200);
+    assert_eq!(incomplete.receive().status(), 408);
     for (case, client) in
-        [("silent", &mut silent), ("slow", &mut slow), ("half", &mut half), ("once", &mut once)]
+        [("silent", &mut silent), ("slow", &mut slow), ("incomplete", &mut incomplete), ("idle", &mut idle)]
     {
         assert!(client.is_closed(), "{case}");
     }
-    assert!(started.elapsed() < Duration::from_secs(10), "long before the class's deadline");
+    assert!(
+        started.elapsed() < Duration::from_secs(10),
+        "the timeouts are far shorter than the deadline of the class"
+    );
     assert_eq!(upstream.request_count(), 1);
 }
 
 #[test]
-fn an_upload_times_out_without_progress_only() {
+fn an_upload_times_out_only_without_progress() {
     let upstream =
         UpstreamServer::new(|_, request| Reply::Send(response(200, "", &request.body.len().to_string())));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
@@ -35,7 +38,7 @@
         let slow = scope.spawn(|| {
             let mut client = node.client();
             client.send(&request_head("POST", "/order/1", "Content-Length: 320000\r\n"));
-            // Far longer than the timeout without progress.
+            // The upload takes far longer in total than the timeout without progress.
             for _ in 0..10 {
                 client.send(&[b'x'; 32_000]);
                 thread::sleep(Duration::from_millis(400));
@@ -47,7 +50,7 @@
             client.send(&request_head("POST", "/order/1", "Content-Length: 320000\r\n"));
             client.send(&[b'x'; 100_000]);
             let started = Instant::now();
-            // A byte now and then does not count as progress.
+            // One byte every 100 ms does not count as progress.
             while started.elapsed() < Duration::from_secs(8) && !client.has_unread_data() {
                 client.send(b"x");
                 thread::sleep(Duration::from_millis(100));
@@ -62,7 +65,7 @@
 }
 
 #[test]
-fn the_head_timeout_starts_with_the_first_byte() {
+fn the_head_timeout_starts_at_the_first_byte_of_the_head() {
     let upstream = UpstreamServer::new(|_, _| ok("slip"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let mut client = node.client();
@@ -82,7 +85,7 @@
     let mut pieces = vec![ok_with_body("", &body)];
     let rest = pieces[0].split_off(1000);
     pieces.extend(rest.chunks(100_000).map(<[u8]>::to_vec));
-    // Each pause is far longer than the timeout within a buffered response.
+    // Each pause is far longer than the timeout between the parts of a buffered response.
     let upstream =
         UpstreamServer::new(move |_, _| Reply::SendInPieces(pieces.clone(), Duration::from_millis(1500)));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
@@ -90,16 +93,19 @@
     let started = Instant::now();
     client.send(&request("GET", "/view/1", "3", "", ""));
     client.stream.read_exact(&mut [0; 15]).unwrap();
-    assert!(started.elapsed() < Duration::from_millis(1400), "its first bytes do not wait for the rest");
+    assert!(
+        started.elapsed() < Duration::from_millis(1400),
+        "the first bytes are forwarded before the rest arrives"
+    );
     let mut rest = Vec::new();
     while rest.len() < body.len() || !rest.ends_with(&body[body.len() - 100..]) {
         let mut some = [0; 65536];
         let length = client.stream.read(&mut some).unwrap();
-        assert!(length > 0, "cut off after {}", rest.len());
+        assert!(length > 0, "the response ends after {} bytes", rest.len());
         rest.extend_from_slice(&some[..length]);
     }
     assert!(rest.ends_with(&body));
-    assert!(started.elapsed() > Duration::from_secs(4), "long past its deadline");
+    assert!(started.elapsed() > Duration::from_secs(4), "the response ends long after its deadline");
 }
 
 #[test]
@@ -114,7 +120,8 @@
 
 #[test]
 fn a_slow_transfer_does_not_count_as_load() {
-    // Twelve responses of one endpoint wait for their readers: the endpoint has no work left with them.
+    // 12 responses of one endpoint wait for their clients to read them. They are no longer work for the
+    // endpoint.
     let body = random_bytes(6_000_000);
     let upstream = UpstreamServer::new(move |_, request| match request.start_line.contains("large") {
         true => Reply::Send(ok_with_body("", &body)),
