--- a/src/node/downstream/connection.rs
+++ b/src/node/downstream/connection.rs
@@ -9,8 +9,8 @@
 
 use crate::net::SocketObserver;
 
-/// Maximum time in which a client has to send a request head, and maximum time for which a connection stays
-/// idle. A client that needs a connection later opens a new one.
+/// Maximum time for a client to send a request head, and maximum time for which a connection stays idle. A
+/// client that needs a connection later opens a new one.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Maximum time from accepting a connection to the end of its first request's head. It ensures that a
 /// connection is closed within 3 s if no head is completed on it.
--- a/src/node/downstream/error.rs
+++ b/src/node/downstream/error.rs
@@ -46,7 +46,7 @@
     /// The class requires an idempotency key and the request has none.
     #[error("Idempotency-Key is missing, repeated, empty or unreadable")]
     MissingIdempotencyKey,
-    /// The class has no idempotency keys and the request has one.
+    /// The class is non-idempotent and the request has an idempotency key.
     #[error("this class has no Idempotency-Key")]
     UnexpectedIdempotencyKey,
     /// The request has a body and must not have one.
--- a/src/node/downstream/request.rs
+++ b/src/node/downstream/request.rs
@@ -113,8 +113,8 @@
     }
 }
 
-/// Rejects a request that has both `Transfer-Encoding` and `Content-Length`. Recipients that follow different
-/// ones disagree about where it ends.
+/// Rejects a request that may have both `Transfer-Encoding` and `Content-Length`. Recipients that follow
+/// different ones disagree about where it ends.
 pub fn check_framing(headers: &HeaderMap, observer: &SocketObserver) -> Result<(), RequestError> {
     match is_chunked(headers) && observer.may_have_content_length() {
         true => Err(RequestError::AmbiguousFraming),
@@ -152,8 +152,8 @@
     value.to_str().ok()
 }
 
-/// Parses a time in seconds, with decimals. A negative time counts as 0, a time above [`MAX_DEADLINE`] is
-/// invalid.
+/// Parses a time in seconds, with decimals. A negative time has passed and counts as 0. A time above
+/// [`MAX_DEADLINE`] is invalid.
 fn parse_seconds(text: &str) -> Option<Duration> {
     let is_decimal = text.bytes().all(|b| b.is_ascii_digit() || b == b'.' || b == b'-' || b == b'+');
     if !is_decimal {
