--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -13,7 +13,7 @@
 use crate::downstream::service::ConnectionService;
 use crate::engine::EngineHandle;
 use crate::lifecycle::{ClientConnections, Lifecycle};
-use crate::upstream::{UpstreamPool, max_connections_of};
+use crate::upstream::{UpstreamPool, max_upstream_connections};
 
 /// Interval at which connections that have been idle for too long or are stuck are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
@@ -98,7 +98,7 @@
     fn share_descriptors(&self, shared: bool) {
         let limits = &self.config.limits;
         let descriptors = if shared { limits.max_connections_shared } else { limits.max_connections };
-        self.upstream.set_max_connections(max_connections_of(descriptors));
+        self.upstream.set_max_connections(max_upstream_connections(descriptors));
         self.connections.set_limits(ConnectionLimits::new(descriptors, self.upstream.max_connections()));
     }
 
--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -92,13 +92,14 @@
             None => self.connect().await?,
         };
         // While the connection was opened the endpoint may have begun to drain, or have restarted.
-        let is_current = self.pool.available(self.endpoint) == Some(lease.connection.incarnation());
+        let is_current =
+            self.pool.available_incarnation(self.endpoint) == Some(lease.connection.incarnation());
         if self.request.may_begin() && is_current { Ok(lease) } else { Err(Outcome::NotSent) }
     }
 
     /// Opens a connection, as long as the attempt may begin.
     async fn connect(&self) -> Result<ConnectionLease, Outcome> {
-        let incarnation = self.pool.available(self.endpoint).ok_or(Outcome::NotSent)?;
+        let incarnation = self.pool.available_incarnation(self.endpoint).ok_or(Outcome::NotSent)?;
         let connecting = self.pool.connect(self.endpoint, incarnation, self.request);
         let connected = match self.request.begin_by.get() {
             Some(begin_by) => timeout_at(begin_by, connecting).await.map_err(|_| Outcome::NotSent)?,
@@ -188,7 +189,7 @@
             ResponsePrefix::read(body, self.pool.buffer_budget()).await.map_err(|_| Outcome::Reset)?;
         let keeps_connection = framing.keeps_connection();
         if head.status == StatusCode::OK {
-            return Ok(serve(head, prefix, lease, keeps_connection));
+            return Ok(build_success_outcome(head, prefix, lease, keeps_connection));
         }
         let origin = lease.origin;
         if keeps_connection && matches!(prefix, ResponsePrefix::Complete(..)) {
@@ -206,7 +207,7 @@
 }
 
 /// The outcome of an attempt that got a 200.
-fn serve(
+fn build_success_outcome(
     mut head: response::Parts,
     prefix: ResponsePrefix,
     lease: ConnectionLease,
--- a/src/node/upstream/idle.rs
+++ b/src/node/upstream/idle.rs
@@ -11,7 +11,7 @@
 /// its response.
 const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(10);
 /// An endpoint that has responded to nothing for this long may be unreachable.
-const SUSPECT_TIMEOUT: Duration = Duration::from_secs(1);
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long a connection may have been idle to be used for a request.
 #[derive(Clone, Copy)]
@@ -20,7 +20,7 @@
     pub max_idle: Duration,
     /// A connection that has been idle for longer is left to other requests, and this one gets a new
     /// connection.
-    pub max_idle_of_request: Duration,
+    pub max_idle_for_request: Duration,
 }
 
 /// The idle connections to one incarnation of an endpoint, and when it last responded.
@@ -39,9 +39,9 @@
     /// Takes the connection that became idle last, among those that have settled and can be reused. Closes
     /// those that it finds to be broken or too old.
     pub fn take(&mut self, limits: ReuseLimits) -> Option<Connection> {
-        let has_settled = |c: &Connection| c.idle_for() >= MIN_IDLE_BEFORE_REUSE;
-        while let Some(position) = self.connections.iter().rposition(has_settled) {
-            if self.connections[position].idle_for() >= limits.max_idle_of_request {
+        let is_idle_long_enough = |c: &Connection| c.idle_for() >= MIN_IDLE_BEFORE_REUSE;
+        while let Some(position) = self.connections.iter().rposition(is_idle_long_enough) {
+            if self.connections[position].idle_for() >= limits.max_idle_for_request {
                 return None;
             }
             let connection = self.connections.remove(position);
@@ -85,9 +85,9 @@
     }
 
     /// Closes all connections if the endpoint has responded to nothing since `sent_at`, at least
-    /// [`SUSPECT_TIMEOUT`] ago.
+    /// [`UNRESPONSIVE_TIMEOUT`] ago.
     pub fn close_if_unresponsive(&mut self, sent_at: Instant) {
-        if sent_at.elapsed() >= SUSPECT_TIMEOUT && self.last_response_at < sent_at {
+        if sent_at.elapsed() >= UNRESPONSIVE_TIMEOUT && self.last_response_at < sent_at {
             self.clear();
         }
     }
--- a/src/node/upstream/idle_timeout.rs
+++ b/src/node/upstream/idle_timeout.rs
@@ -45,12 +45,12 @@
     }
 
     /// An endpoint has rejected a request on a new connection, and closed that.
-    pub fn new_connection_rejected(&self) {
+    pub fn record_new_connection_rejected(&self) {
         self.set((self.max_idle() / 2).max(MIN_IDLE_TIMEOUT));
     }
 
     /// An endpoint has rejected a request on a reused connection, and closed that.
-    pub fn reused_connection_rejected(&self) {
+    pub fn record_reused_connection_rejected(&self) {
         self.set(self.max_idle() * 2);
     }
 
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -25,6 +25,6 @@
 
 pub use attempt::AttemptOutcome;
 pub use endpoints::ListedEndpoint;
-pub use pool::{UpstreamPool, max_connections_of};
+pub use pool::{UpstreamPool, max_upstream_connections};
 pub use request::UpstreamRequest;
 pub use response::StreamingResponse;
--- a/src/node/upstream/pool.rs
+++ b/src/node/upstream/pool.rs
@@ -27,7 +27,7 @@
 const DESCRIPTORS_PER_UPSTREAM_CONNECTION: usize = 3;
 
 /// How many of `descriptors` may be used for upstream connections.
-pub fn max_connections_of(descriptors: usize) -> usize {
+pub fn max_upstream_connections(descriptors: usize) -> usize {
     descriptors / DESCRIPTORS_PER_UPSTREAM_CONNECTION
 }
 
@@ -44,7 +44,7 @@
     /// A pool without endpoints. `buffer_budget` is what response bodies are buffered in.
     pub fn new(config: &Config, buffer_budget: Rc<BufferBudget>) -> UpstreamPool {
         let max_idle = config.keepalive.mul_f64(IDLE_TIMEOUT_FRACTION);
-        let max_connections = max_connections_of(config.limits.max_connections);
+        let max_connections = max_upstream_connections(config.limits.max_connections);
         let connector =
             Connector::new(max_connections, config.connect_timeout, config.limits.connection_buffer);
         UpstreamPool {
@@ -126,7 +126,7 @@
 /// What an attempt needs of the pool.
 impl UpstreamPool {
     /// The incarnation to send requests to, if the endpoint is available.
-    pub(super) fn available(&self, endpoint: EndpointId) -> Option<Incarnation> {
+    pub(super) fn available_incarnation(&self, endpoint: EndpointId) -> Option<Incarnation> {
         self.endpoints.borrow().available(endpoint)
     }
 
@@ -140,9 +140,9 @@
         endpoint: EndpointId,
         non_idempotent: bool,
     ) -> Option<ConnectionLease> {
-        let max_idle_of_request =
+        let max_idle_for_request =
             if non_idempotent { self.stale_connections.max_idle(true) } else { Duration::MAX };
-        let limits = ReuseLimits { max_idle: self.max_idle(), max_idle_of_request };
+        let limits = ReuseLimits { max_idle: self.max_idle(), max_idle_for_request };
         let connection = self.endpoints.borrow_mut().idle_mut(endpoint)?.take(limits)?;
         let origin = ConnectionOrigin::Reused { idle_for: connection.idle_for() };
         Some(ConnectionLease { pool: self.clone(), endpoint, connection, origin })
@@ -164,7 +164,9 @@
 
     /// Keeps a connection for the next attempt, if the endpoint still takes any.
     async fn return_idle(&self, endpoint: EndpointId, mut connection: Connection) {
-        if !connection.become_idle().await || self.available(endpoint) != Some(connection.incarnation()) {
+        if !connection.become_idle().await
+            || self.available_incarnation(endpoint) != Some(connection.incarnation())
+        {
             return;
         }
         if let Some(idle) = self.endpoints.borrow_mut().idle_mut(endpoint) {
@@ -188,8 +190,8 @@
     /// Notes that an endpoint rejected a request and closed its connection, as one does that has too many.
     pub(super) fn record_connection_rejected(&self, origin: ConnectionOrigin) {
         match origin {
-            ConnectionOrigin::New => self.idle_timeout.new_connection_rejected(),
-            ConnectionOrigin::Reused { .. } => self.idle_timeout.reused_connection_rejected(),
+            ConnectionOrigin::New => self.idle_timeout.record_new_connection_rejected(),
+            ConnectionOrigin::Reused { .. } => self.idle_timeout.record_reused_connection_rejected(),
         }
     }
 
--- a/src/node/upstream/stale_connections.rs
+++ b/src/node/upstream/stale_connections.rs
@@ -4,7 +4,7 @@
 //! show that only at the next request. Elsewhere connections break whether they are new or reused, and to
 //! open more of them helps nobody. To tell the two apart, uses and breaks of connections are counted: those
 //! of new connections, and those of reused ones by how long they had been idle, in buckets of half an octave.
-//! All counts decay with the time constant [`MEMORY`].
+//! All counts decay with the time constant [`DECAY_TIME_CONSTANT`].
 //!
 //! For each bucket `i` let `u` and `b` be the uses and breaks in the buckets from `i` on, and `U` and `B`
 //! those of all shorter idle times and of new connections. Then
@@ -30,12 +30,12 @@
 /// All idle times up to this and a half octave more are in the first bucket.
 const FIRST_BUCKET: Duration = Duration::from_millis(5);
 /// How many buckets there are. The last one also has all longer idle times.
-const BUCKETS: usize = 26;
+const BUCKET_COUNT: usize = 26;
 /// How many buckets an octave of idle times has.
 const BUCKETS_PER_OCTAVE: f64 = 2.0;
 /// The time constant of the counts' decay. A limit is lifted, and longer idle times are tried again, once
 /// their breaks are forgotten.
-const MEMORY: Duration = Duration::from_secs(20);
+const DECAY_TIME_CONSTANT: Duration = Duration::from_secs(20);
 /// The prior of the baseline: one break in so many uses, as connections break everywhere at times.
 const PRIOR_USES: f64 = 20.0;
 /// The least evidence for a limit, as the natural logarithm of a likelihood ratio. A node in a large fleet
@@ -51,20 +51,20 @@
 
 /// Uses of connections, and how many of them broke.
 #[derive(Clone, Copy, Default)]
-struct Uses {
+struct UseCounts {
     total: f64,
     broken: f64,
 }
 
-impl Add for Uses {
-    type Output = Uses;
+impl Add for UseCounts {
+    type Output = UseCounts;
 
-    fn add(self, other: Uses) -> Uses {
-        Uses { total: self.total + other.total, broken: self.broken + other.broken }
+    fn add(self, other: UseCounts) -> UseCounts {
+        UseCounts { total: self.total + other.total, broken: self.broken + other.broken }
     }
 }
 
-impl Uses {
+impl UseCounts {
     /// The probability of a break, with the prior added.
     fn break_rate(self) -> f64 {
         (self.broken + 1.0) / (self.total + PRIOR_USES)
@@ -79,58 +79,60 @@
     }
 }
 
-/// A count that decays with the time constant [`MEMORY`].
+/// A count that decays with the time constant [`DECAY_TIME_CONSTANT`].
 #[derive(Clone, Copy)]
-struct DecayingUses {
-    uses: Uses,
-    as_of: Instant,
+struct DecayingUseCounts {
+    uses: UseCounts,
+    updated_at: Instant,
 }
 
-impl DecayingUses {
-    fn new() -> DecayingUses {
-        DecayingUses { uses: Uses::default(), as_of: Instant::now() }
+impl DecayingUseCounts {
+    fn new() -> DecayingUseCounts {
+        DecayingUseCounts { uses: UseCounts::default(), updated_at: Instant::now() }
     }
 
-    fn add(&mut self, uses: Uses) {
-        *self = DecayingUses { uses: self.current() + uses, as_of: Instant::now() };
+    fn add(&mut self, uses: UseCounts) {
+        *self = DecayingUseCounts { uses: self.current() + uses, updated_at: Instant::now() };
     }
 
-    fn current(&self) -> Uses {
-        let remaining = (-self.as_of.elapsed().as_secs_f64() / MEMORY.as_secs_f64()).exp();
-        Uses { total: self.uses.total * remaining, broken: self.uses.broken * remaining }
+    fn current(&self) -> UseCounts {
+        let remaining = (-self.updated_at.elapsed().as_secs_f64() / DECAY_TIME_CONSTANT.as_secs_f64()).exp();
+        UseCounts { total: self.uses.total * remaining, broken: self.uses.broken * remaining }
     }
 }
 
 /// Estimates after how long an idle connection is stale; see the module's documentation.
 pub struct StaleConnectionEstimator {
-    new: RefCell<DecayingUses>,
+    new: RefCell<DecayingUseCounts>,
     /// By idle time.
-    reused: RefCell<[DecayingUses; BUCKETS]>,
+    reused: RefCell<[DecayingUseCounts; BUCKET_COUNT]>,
 }
 
 impl StaleConnectionEstimator {
     /// An estimator that has seen nothing.
     pub fn new() -> StaleConnectionEstimator {
         StaleConnectionEstimator {
-            new: RefCell::new(DecayingUses::new()),
-            reused: RefCell::new([DecayingUses::new(); BUCKETS]),
+            new: RefCell::new(DecayingUseCounts::new()),
+            reused: RefCell::new([DecayingUseCounts::new(); BUCKET_COUNT]),
         }
     }
 
     /// A request on a connection of this origin got a response.
     pub fn record_response(&self, origin: ConnectionOrigin) {
-        self.record(origin, Uses { total: 1.0, broken: 0.0 });
+        self.record(origin, UseCounts { total: 1.0, broken: 0.0 });
     }
 
     /// A connection of this origin broke under a request.
     pub fn record_break(&self, origin: ConnectionOrigin) {
-        self.record(origin, Uses { total: 1.0, broken: 1.0 });
+        self.record(origin, UseCounts { total: 1.0, broken: 1.0 });
     }
 
-    fn record(&self, origin: ConnectionOrigin, uses: Uses) {
+    fn record(&self, origin: ConnectionOrigin, uses: UseCounts) {
         match origin {
             ConnectionOrigin::New => self.new.borrow_mut().add(uses),
-            ConnectionOrigin::Reused { idle_for } => self.reused.borrow_mut()[bucket_of(idle_for)].add(uses),
+            ConnectionOrigin::Reused { idle_for } => {
+                self.reused.borrow_mut()[bucket_index(idle_for)].add(uses);
+            }
         }
     }
 
@@ -144,18 +146,18 @@
         while non_idempotent && bucket > 0 && reused[bucket - 1].total < MIN_TRIED_USES {
             bucket -= 1;
         }
-        start_of(bucket)
+        bucket_start(bucket)
     }
 
     /// The bucket from which on connections are most evidently stale, if there is enough evidence for any.
-    fn first_stale_bucket(&self, reused: &[Uses; BUCKETS], margin: f64) -> Option<usize> {
+    fn first_stale_bucket(&self, reused: &[UseCounts; BUCKET_COUNT], margin: f64) -> Option<usize> {
         let mut shorter = self.new.borrow().current();
         let (mut most_evidence, mut stale_from) = (MIN_EVIDENCE, None);
         for (bucket, uses) in reused.iter().enumerate() {
             let baseline = shorter.break_rate();
             // Summed for each bucket: the rounding errors of a running difference would look like strong
             // evidence.
-            let longer = reused[bucket..].iter().fold(Uses::default(), |sum, uses| sum + *uses);
+            let longer = reused[bucket..].iter().fold(UseCounts::default(), |sum, uses| sum + *uses);
             let evidence = longer.evidence_against(baseline);
             if longer.broken > (baseline + margin) * longer.total && evidence >= most_evidence {
                 (most_evidence, stale_from) = (evidence, Some(bucket));
@@ -167,13 +169,13 @@
 }
 
 /// The bucket of an idle time.
-fn bucket_of(idle_for: Duration) -> usize {
+fn bucket_index(idle_for: Duration) -> usize {
     let octaves = (idle_for.as_secs_f64() / FIRST_BUCKET.as_secs_f64()).max(1.0).log2();
-    ((octaves * BUCKETS_PER_OCTAVE) as usize).min(BUCKETS - 1)
+    ((octaves * BUCKETS_PER_OCTAVE) as usize).min(BUCKET_COUNT - 1)
 }
 
 /// The shortest idle time of a bucket.
-fn start_of(bucket: usize) -> Duration {
+fn bucket_start(bucket: usize) -> Duration {
     FIRST_BUCKET.mul_f64(2f64.powf(bucket as f64 / BUCKETS_PER_OCTAVE))
 }
 
--- a/src/node/upstream/stall.rs
+++ b/src/node/upstream/stall.rs
@@ -41,14 +41,14 @@
 /// An informational response may precede the final one by any time, so that silence after one is not a stall;
 /// but there may be only so many of them.
 pub async fn response_stalled(socket: &UpstreamSocket, informational: &InformationalCounter) {
-    let mut count_before = 0;
+    let mut previous_count = 0;
     loop {
         socket.data_received().await;
         while timeout(RESPONSE_PROGRESS_TIMEOUT, socket.data_received()).await.is_ok() {}
         let count = informational.count();
-        if count == count_before || count > MAX_INFORMATIONAL_RESPONSES {
+        if count == previous_count || count > MAX_INFORMATIONAL_RESPONSES {
             return;
         }
-        count_before = count;
+        previous_count = count;
     }
 }
--- a/tests/unit/idle_timeout.rs
+++ b/tests/unit/idle_timeout.rs
@@ -5,10 +5,10 @@
 #[test]
 fn the_idle_timeout_shrinks_to_its_minimum_while_new_connections_are_rejected() {
     let policy = IdleTimeoutPolicy::new(Duration::from_secs(40));
-    (0..4).for_each(|_| policy.new_connection_rejected());
+    (0..4).for_each(|_| policy.record_new_connection_rejected());
     let max_idle = policy.max_idle().as_secs_f64();
     assert!((2.5..4.0).contains(&max_idle), "{max_idle}");
-    (0..9).for_each(|_| policy.new_connection_rejected());
+    (0..9).for_each(|_| policy.record_new_connection_rejected());
     assert!(policy.max_idle() < 2 * MIN_IDLE_TIMEOUT);
     assert!(policy.max_idle() >= MIN_IDLE_TIMEOUT);
 }
@@ -18,9 +18,9 @@
     let policy = IdleTimeoutPolicy::new(Duration::from_secs(40));
     for n in 0..20 {
         if n % 4 == 0 {
-            policy.new_connection_rejected();
+            policy.record_new_connection_rejected();
         } else {
-            policy.reused_connection_rejected();
+            policy.record_reused_connection_rejected();
         }
     }
     assert_eq!(policy.max_idle(), Duration::from_secs(40));
