--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -16,18 +16,19 @@
 use crate::body::{OutboundBody, ResponseBody, ResponsePrefix};
 use crate::protocol::headers::remove_hop_by_hop_headers;
 
-/// What became of an attempt.
+/// Result of an attempt.
 pub enum AttemptOutcome {
-    /// There is no response for the client.
+    /// The attempt has no response for the client.
     Failed(Outcome),
-    /// A complete 200.
+    /// A complete response with status 200.
     Served(Response<ResponseBody>),
-    /// A 200 of which the first piece was read and the rest is still to come.
+    /// A response with status 200 of which only the first part has been read.
     Streaming(Response<StreamingResponse>),
 }
 
 impl UpstreamPool {
-    /// Makes one attempt. `may_be_written` is set while some of it may be on a socket.
+    /// Sends a request to an endpoint and waits for the response. `may_be_written` is `true` while part of
+    /// the request may have been written to a socket.
     pub async fn attempt(
         self: &Rc<Self>,
         request: &UpstreamRequest,
@@ -46,7 +47,7 @@
     }
 }
 
-/// The parts of an attempt that stay the same over its connections.
+/// Parameters of an attempt, which may use several connections.
 struct Attempt<'a> {
     pool: &'a Rc<UpstreamPool>,
     request: &'a UpstreamRequest,
@@ -58,8 +59,8 @@
 enum ExchangeError {
     /// The attempt has failed.
     Failed(Outcome),
-    /// The connection was idle and closed before anything was written to it. The request may be sent on
-    /// another: that is not a second execution.
+    /// The reused connection closed before any byte of the request was written to it. The request can be sent
+    /// on another connection, because the endpoint cannot have executed it.
     NothingWritten,
 }
 
@@ -70,7 +71,8 @@
 }
 
 impl Attempt<'_> {
-    /// Sends the request on an idle connection or a new one, until one of them takes it.
+    /// Sends the request on an idle or a new connection, and tries another connection as long as nothing has
+    /// been written.
     async fn run(&self) -> Result<AttemptOutcome, Outcome> {
         loop {
             let lease = self.lease_connection().await?;
@@ -82,7 +84,7 @@
         }
     }
 
-    /// A connection on which the request may be sent now.
+    /// Returns a connection on which the request may be sent now.
     async fn lease_connection(&self) -> Result<ConnectionLease, Outcome> {
         if !self.request.may_begin() {
             return Err(Outcome::NotSent);
@@ -91,13 +93,13 @@
             Some(lease) => lease,
             None => self.connect().await?,
         };
-        // While the connection was opened the endpoint may have begun to drain, or have restarted.
+        // The endpoint may have started draining or have restarted while the connection was opened.
         let is_current =
             self.pool.available_incarnation(self.endpoint) == Some(lease.connection.incarnation());
         if self.request.may_begin() && is_current { Ok(lease) } else { Err(Outcome::NotSent) }
     }
 
-    /// Opens a connection, as long as the attempt may begin.
+    /// Opens a connection, and fails when the attempt may no longer begin.
     async fn connect(&self) -> Result<ConnectionLease, Outcome> {
         let incarnation = self.pool.available_incarnation(self.endpoint).ok_or(Outcome::NotSent)?;
         let connecting = self.pool.connect(self.endpoint, incarnation, self.request);
@@ -108,13 +110,13 @@
         Ok(connected?)
     }
 
-    /// Sends the request on a connection and reads its response, unless that stalls.
+    /// Sends the request on a connection and reads the response. Fails if the response stalls.
     async fn exchange(&self, lease: ConnectionLease) -> Result<AttemptOutcome, ExchangeError> {
         let mut http_request = self.request.to_http().ok_or(Outcome::NotSent)?;
         let informational = InformationalCounter::attach(&mut http_request);
         let socket = lease.connection.socket().clone();
         self.may_be_written.set(true);
-        // What was received before belongs to another response.
+        // Data received earlier belongs to a previous response.
         socket.clear_received();
         tokio::select! {
             biased;
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Sends the request on a connection and reads its response.
+    /// Sends the request on a connection and reads the response.
     async fn send_and_read(
         &self,
         mut lease: ConnectionLease,
@@ -143,16 +145,17 @@
         };
         self.pool.record_response(self.endpoint, lease.origin);
         drop(unresponsive_guard);
-        // A request of which the last byte is still missing was not executed: a 200 to it is not its
-        // response.
+        // Endpoints do not execute a request before they have its last byte, so a 200 that comes earlier is
+        // not the response to this request.
         if self.request.received_at().is_none() && response.status() == StatusCode::OK {
             return Err(Outcome::Reset.into());
         }
         Ok(self.read_response(lease, response).await?)
     }
 
-    /// What it means that the connection broke before the head of a response. Endpoints begin to execute a
-    /// request when its last byte has arrived.
+    /// Classifies the failure of a connection before the head of the response. The request may have been
+    /// executed only if it may have been written completely, because endpoints begin to execute a request
+    /// when its last byte has arrived.
     fn classify_send_error(
         &self,
         lease: &ConnectionLease,
@@ -163,21 +166,21 @@
         if written == 0 && !lease.origin.is_new() {
             return ExchangeError::NothingWritten;
         }
-        // The client did not send its last byte, and the endpoint is not to blame.
+        // The client failed to send the whole body, so this is not a failure of the endpoint.
         if self.request.body.has_failed() {
             return Outcome::NotSent.into();
         }
         if !self.request.may_be_complete(head_length, written) {
             return Outcome::ConnectFailed.into();
         }
-        // A response that can't be parsed says nothing about the connection, which has carried it.
+        // An invalid response is not a break of the connection that delivered it.
         if !error.is_parse() {
             self.pool.record_break(lease.origin);
         }
         Outcome::Reset.into()
     }
 
-    /// Reads a small response completely, and the first piece of a large one.
+    /// Reads a small response completely, or the first part of a large one.
     async fn read_response(
         &self,
         lease: ConnectionLease,
@@ -206,7 +209,7 @@
     }
 }
 
-/// The outcome of an attempt that got a 200.
+/// Builds the outcome of an attempt that got a response with status 200.
 fn build_success_outcome(
     mut head: response::Parts,
     prefix: ResponsePrefix,
@@ -229,11 +232,11 @@
     }
 }
 
-/// Closes the idle connections to an endpoint if a request to it ends without a response after a long time.
+/// Closes the idle connections to an endpoint if an attempt ends without a response after a long time.
 ///
-/// An endpoint that has become unreachable is silent on all connections that it had. Each idle one would cost
-/// another attempt its full timeout, and leave open whether the request was executed; a new one fails early,
-/// and surely without executing anything.
+/// An endpoint that has become unreachable responds on none of its existing connections. Each idle connection
+/// would cost another attempt its full timeout, and it would stay unknown whether the request was executed. A
+/// new connection fails early, and it is certain that nothing was executed.
 struct UnresponsiveGuard<'a> {
     pool: &'a UpstreamPool,
     endpoint: EndpointId,
--- a/src/node/upstream/connect.rs
+++ b/src/node/upstream/connect.rs
@@ -1,4 +1,4 @@
-//! Opening connections, within the limits of the node's permits and the machine's descriptors.
+//! Opening of connections within the limits on connection permits and file descriptors.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,15 +12,15 @@
 use super::request::UpstreamRequest;
 use crate::net::{ConnectionPermit, ConnectionPermits, UpstreamSocket, is_descriptor_limit};
 
-/// How long to wait for a descriptor until the next try.
+/// Delay before a connection that failed for lack of a descriptor is tried again.
 const DESCRIPTOR_RETRY_BACKOFF: Duration = Duration::from_millis(10);
 
-/// Why no connection was opened.
+/// Reason why no connection was opened.
 #[derive(Clone, Copy)]
 pub enum ConnectError {
-    /// No permit or no descriptor became free in time. Says nothing about the endpoint.
+    /// No permit or no descriptor became available in time. This is not a failure of the endpoint.
     NoCapacity,
-    /// Meanwhile the request may no longer be sent.
+    /// The request may no longer be sent.
     RequestWithdrawn,
     /// The endpoint did not accept the connection in time.
     Unreachable,
@@ -39,24 +39,24 @@
 pub struct Connector {
     permits: Rc<ConnectionPermits>,
     connect_timeout: Duration,
-    /// How many bytes a connection may buffer in each direction.
+    /// Maximum number of bytes that a connection buffers in each direction.
     max_buffer_size: usize,
 }
 
 impl Connector {
-    /// A connector that has `max_connections` connections open at most.
+    /// Creates a connector that keeps at most `max_connections` connections open.
     pub fn new(max_connections: usize, connect_timeout: Duration, max_buffer_size: usize) -> Connector {
         let permits = Rc::new(ConnectionPermits::new(max_connections));
         Connector { permits, connect_timeout, max_buffer_size }
     }
 
-    /// The permits of the open connections.
+    /// Returns the permits for open connections.
     pub fn permits(&self) -> &ConnectionPermits {
         &self.permits
     }
 
-    /// Opens a connection for a request. Where permits or descriptors are short, `evict_idle` is called to
-    /// close an idle connection.
+    /// Opens a connection for a request. Calls `evict_idle` to close an idle connection when there is no
+    /// permit or no descriptor.
     pub async fn connect(
         &self,
         incarnation: Incarnation,
@@ -68,11 +68,12 @@
         handshake.map_err(|_| ConnectError::Unreachable)
     }
 
-    /// Opens a socket once there are a permit and a descriptor for it. The machine may have fewer descriptors
-    /// than the configuration says.
+    /// Opens a socket once a permit and a descriptor are available. Descriptors can run out before permits,
+    /// because the machine may have fewer of them than the configuration says.
     ///
-    /// Both are waited for no longer than for an endpoint. The other endpoints could be reached no better,
-    /// and trying them at once would use up the attempts of the request.
+    /// The wait for both is limited to the connect timeout. Failing at once would be no better: the shortage
+    /// affects the connections to all endpoints, and immediate retries would use up the attempts of the
+    /// request.
     async fn open_socket(
         &self,
         address: SocketAddr,
@@ -83,7 +84,7 @@
         loop {
             let permit = timeout_at(deadline, self.acquire_permit(&evict_idle)).await;
             let permit = permit.map_err(|_| ConnectError::NoCapacity)?;
-            // The permit may be free because the client of this request has disconnected.
+            // The permit may have become available because the client of this request has disconnected.
             if !request.may_begin() {
                 return Err(ConnectError::RequestWithdrawn);
             }
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Waits for a permit; each time that there is none an idle connection is closed.
+    /// Waits for a permit, and closes an idle connection each time that none is available.
     async fn acquire_permit(&self, evict_idle: impl Fn()) -> ConnectionPermit {
         loop {
             if let Some(permit) = self.permits.try_acquire() {
--- a/src/node/upstream/connection.rs
+++ b/src/node/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection to an endpoint.
+//! An HTTP/1.1 connection to an endpoint.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,52 +15,53 @@
 use crate::body::OutboundBody;
 use crate::net::{UpstreamIo, UpstreamSocket};
 
-/// How long hyper may take, after a response, until it accepts the next request on the connection.
+/// Maximum time after a response until hyper accepts the next request on the connection.
 const READY_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// One incarnation of an endpoint, as far as it can be told from outside. Connections that were opened to an
-/// earlier one are not used any more.
+/// The properties by which the node distinguishes incarnations of an endpoint. Connections to an earlier
+/// incarnation are no longer used.
 #[derive(Clone, Copy, PartialEq)]
 pub struct Incarnation {
-    /// Where the endpoint accepts connections.
+    /// Address at which the endpoint accepts connections.
     pub address: SocketAddr,
-    /// When its process started, as the endpoint list states it.
+    /// Start time of the endpoint's process, as stated by the endpoint list.
     pub started_at: Timestamp,
-    /// How many times, over all endpoints, maintenance had ended when this incarnation began.
+    /// Number of times that maintenance had ended, over all endpoints, when this incarnation began.
     pub maintenance_epoch: u64,
 }
 
-/// Where an attempt's connection came from.
+/// Origin of the connection of an attempt.
 #[derive(Clone, Copy, PartialEq)]
 pub enum ConnectionOrigin {
     /// Opened for the attempt.
     New,
     /// Taken from the idle connections.
     Reused {
-        /// How long it had been idle.
+        /// How long the connection had been idle.
         idle_for: Duration,
     },
 }
 
 impl ConnectionOrigin {
-    /// Whether the connection was opened for the attempt.
+    /// Returns whether the connection was opened for the attempt.
     pub fn is_new(self) -> bool {
         self == ConnectionOrigin::New
     }
 }
 
-/// A connection to an endpoint. Dropping it closes it.
+/// A connection to an endpoint, closed when dropped.
 pub struct Connection {
     sender: SendRequest<OutboundBody>,
     socket: Rc<UpstreamSocket>,
     incarnation: Incarnation,
     idle_since: Instant,
-    /// hyper's task, which reads and writes the socket.
+    /// The hyper task that reads and writes the socket.
     _driver: AbortOnDropHandle<()>,
 }
 
 impl Connection {
-    /// Sets up HTTP/1.1 on a connected socket. hyper buffers up to `max_buffer_size` bytes in each direction.
+    /// Sets up HTTP/1.1 on a connected socket. hyper buffers at most `max_buffer_size` bytes in each
+    /// direction.
     pub async fn handshake(
         socket: UpstreamSocket,
         incarnation: Incarnation,
@@ -70,7 +71,7 @@
         let io = TokioIo::new(UpstreamIo(socket.clone()));
         let (sender, driver) = http1::Builder::new().max_buf_size(max_buffer_size).handshake(io).await?;
         let task = tokio::task::spawn_local(async move {
-            // Its errors are reported to the attempts.
+            // Attempts get the errors from `send`.
             let _ = driver.await;
         });
         Ok(Connection {
@@ -87,39 +88,40 @@
         self.sender.send_request(request).await
     }
 
-    /// The socket, which counts what hyper writes and reads.
+    /// Returns the socket, which tracks what hyper writes and reads.
     pub fn socket(&self) -> &Rc<UpstreamSocket> {
         &self.socket
     }
 
-    /// The incarnation that it was opened to.
+    /// Returns the incarnation of the endpoint that the connection was opened to.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Since when it has been idle.
+    /// Returns the time since which the connection has been idle.
     pub fn idle_since(&self) -> Instant {
         self.idle_since
     }
 
-    /// How long it has been idle.
+    /// Returns how long the connection has been idle.
     pub fn idle_for(&self) -> Duration {
         self.idle_since.elapsed()
     }
 
-    /// Whether the peer has closed it, as far as hyper has noticed.
+    /// Returns whether hyper has noticed that the connection is closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Whether a request can be sent on it. Whatever the peer has sent since the last response would be read
-    /// as the response to the next request, so such a connection is of no use.
+    /// Returns whether another request can be sent on the connection. A connection on which the endpoint has
+    /// sent bytes since the last response cannot be reused: they would be read as the response to the next
+    /// request.
     pub fn is_reusable(&self) -> bool {
         self.sender.is_ready() && self.socket.is_receive_queue_empty()
     }
 
-    /// Waits until hyper has found the end of the response and accepts another request, and starts the idle
-    /// time. Returns whether that succeeded.
+    /// Waits until hyper has read the end of the response and accepts another request, and starts the idle
+    /// time. Returns whether hyper was ready within [`READY_TIMEOUT`].
     pub async fn become_idle(&mut self) -> bool {
         let ready = timeout(READY_TIMEOUT, self.sender.ready()).await;
         self.idle_since = Instant::now();
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -1,15 +1,16 @@
-//! The upstream side: the endpoints that discovery lists, the connections to them, and one attempt at a time
-//! on each.
+//! The upstream side: the endpoints that discovery lists, the connections to them, and the attempts, of which
+//! each connection carries one at a time.
 //!
-//! [`UpstreamPool`] is what the other modules use; the engine hands it an [`UpstreamRequest`] for each
-//! attempt and gets an [`AttemptOutcome`]. Below it, in the order in which the modules import each other:
+//! Other modules use [`UpstreamPool`]: the engine passes it an [`UpstreamRequest`] for each attempt and gets
+//! an [`AttemptOutcome`]. The modules, in the order in which they import each other:
 //!
 //! - `connection`: an HTTP/1.1 connection and the incarnation of the endpoint that it was opened to;
-//! - `idle`, `endpoints`: the idle connections of an endpoint, and the directory of endpoints;
-//! - `idle_timeout`, `stale_connections`: how long an idle connection is kept, and when it is no longer
-//!   trusted;
+//! - `idle`, `endpoints`: the idle connections to an endpoint, and the directory of endpoints;
+//! - `idle_timeout`, `stale_connections`: how long an idle connection is kept, and after which idle time it
+//!   is considered stale;
 //! - `request`, `connect`: what an attempt sends, and how a connection for it is opened;
-//! - `pool`, `response`, `attempt`: the pool, the response that passes through, and the steps of one attempt.
+//! - `pool`, `response`: the connection pool, and responses that are streamed to the client;
+//! - `stall`, `attempt`: detection of stalled responses, and the steps of one attempt.
 
 mod attempt;
 mod connect;
--- a/src/node/upstream/pool.rs
+++ b/src/node/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to all endpoints.
+//! Pool of connections to all endpoints.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -17,16 +17,17 @@
 use crate::body::BufferBudget;
 use crate::config::Config;
 
-/// An idle connection is closed after this fraction of the time for which endpoints keep it: a request that
-/// crosses the endpoint's close is lost.
+/// Maximum idle time of a connection, as a fraction of the time after which endpoints close it. A request
+/// that is sent while the endpoint closes the connection is lost.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
-/// How often idle connections are swept.
+/// Interval at which expired idle connections are closed.
 const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// One in so many of the descriptors for connections is for upstream ones. A downstream connection is in use
-/// while its request is queued, an upstream one only while an attempt is under way: downstream needs more.
+/// One of this many descriptors is for an upstream connection, the others are for downstream connections.
+/// Downstream needs more, because its connections are in use while requests are queued, and upstream ones
+/// only during an attempt.
 const DESCRIPTORS_PER_UPSTREAM_CONNECTION: usize = 3;
 
-/// How many of `descriptors` may be used for upstream connections.
+/// Returns how many of the descriptors for connections may be used for upstream connections.
 pub fn max_upstream_connections(descriptors: usize) -> usize {
     descriptors / DESCRIPTORS_PER_UPSTREAM_CONNECTION
 }
@@ -41,7 +42,7 @@
 }
 
 impl UpstreamPool {
-    /// A pool without endpoints. `buffer_budget` is what response bodies are buffered in.
+    /// Creates a pool without endpoints. Buffered response bodies count towards `buffer_budget`.
     pub fn new(config: &Config, buffer_budget: Rc<BufferBudget>) -> UpstreamPool {
         let max_idle = config.keepalive.mul_f64(IDLE_TIMEOUT_FRACTION);
         let max_connections = max_upstream_connections(config.limits.max_connections);
@@ -56,50 +57,50 @@
         }
     }
 
-    /// Whether an endpoint list has ever named this endpoint.
+    /// Returns whether any endpoint list so far has contained this endpoint.
     pub fn is_known(&self, endpoint: EndpointId) -> bool {
         self.endpoints.borrow().is_known(endpoint)
     }
 
-    /// Whether there is any endpoint to send to.
+    /// Returns whether any endpoint is ready according to the endpoint list.
     pub fn has_ready_endpoint(&self) -> bool {
         self.endpoints.borrow().has_ready()
     }
 
-    /// Takes in a snapshot of all endpoints. Idle connections to endpoints that have moved, restarted or are
-    /// not ready are closed.
+    /// Applies a snapshot of all endpoints. Closes idle connections to endpoints that have changed their
+    /// address, have restarted or are not ready.
     pub fn apply_snapshot(&self, list: impl Iterator<Item = ListedEndpoint>) {
         self.endpoints.borrow_mut().apply_snapshot(list);
     }
 
-    /// Takes in the endpoints that have changed, as [`UpstreamPool::apply_snapshot`] does.
+    /// Applies a delta, the endpoints that have changed, like [`UpstreamPool::apply_snapshot`].
     pub fn apply_delta(&self, list: impl Iterator<Item = ListedEndpoint>) {
         self.endpoints.borrow_mut().apply_delta(list);
     }
 
-    /// Sends an endpoint nothing new from now on, whatever lists say.
+    /// Puts an endpoint into maintenance: it gets no new requests, regardless of the endpoint list.
     pub fn enter_maintenance(&self, endpoint: EndpointId) {
         self.endpoints.borrow_mut().enter_maintenance(endpoint);
     }
 
-    /// Sends an endpoint requests again if lists name it ready, on new connections.
+    /// Ends the maintenance of an endpoint: it gets requests again while it is ready, on new connections.
     pub fn exit_maintenance(&self, endpoint: EndpointId) {
         self.endpoints.borrow_mut().exit_maintenance(endpoint);
     }
 
-    /// How many connections may be open.
+    /// Returns the maximum number of open connections.
     pub fn max_connections(&self) -> usize {
         self.connector.permits().max()
     }
 
-    /// Sets how many connections may be open, and closes idle ones beyond.
+    /// Sets the maximum number of open connections, and closes idle connections that exceed it.
     pub fn set_max_connections(&self, max: usize) {
         let permits = self.connector.permits();
         permits.set_max(max);
         while permits.in_use() > max && self.evict_idle() {}
     }
 
-    /// Closes the connection that has been idle for longest. Returns whether there was one.
+    /// Closes the connection that has been idle for longest. Returns `false` if no connection is idle.
     pub fn evict_idle(&self) -> bool {
         let mut endpoints = self.endpoints.borrow_mut();
         let oldest = endpoints.all_idle_mut().filter_map(|idle| Some((idle.oldest_idle_since()?, idle)));
@@ -108,7 +109,7 @@
         true
     }
 
-    /// Closes idle connections well before the endpoints do, for as long as the process runs.
+    /// Closes expired idle connections periodically, well before the endpoints do. Never returns.
     pub async fn run_idle_sweep(&self) {
         loop {
             sleep(IDLE_SWEEP_INTERVAL).await;
@@ -117,24 +118,25 @@
         }
     }
 
-    /// For how long an idle connection is kept.
+    /// Returns how long an idle connection is kept.
     fn max_idle(&self) -> Duration {
         self.idle_timeout.max_idle().min(self.stale_connections.max_idle(false))
     }
 }
 
-/// What an attempt needs of the pool.
+/// Operations that attempts use.
 impl UpstreamPool {
-    /// The incarnation to send requests to, if the endpoint is available.
+    /// Returns the incarnation of an endpoint that requests may be sent to, or `None` if the endpoint is not
+    /// ready or is in maintenance.
     pub(super) fn available_incarnation(&self, endpoint: EndpointId) -> Option<Incarnation> {
         self.endpoints.borrow().available(endpoint)
     }
 
-    /// Takes an idle connection, if a request may be sent on one.
+    /// Takes an idle connection on which a request may be sent, if there is one.
     ///
-    /// When a connection breaks under a request it is unknown whether the request was executed. A
-    /// non-idempotent one could then neither be retried nor rejected, so it gets a new connection rather than
-    /// one that may be stale.
+    /// When a connection breaks during a request it is unknown whether the request was executed. A
+    /// non-idempotent request could then neither be retried nor rejected, so it gets a new connection instead
+    /// of one that may be stale.
     pub(super) fn take_idle(
         self: &Rc<Self>,
         endpoint: EndpointId,
@@ -162,7 +164,7 @@
         Ok(ConnectionLease { pool: self.clone(), endpoint, connection, origin: ConnectionOrigin::New })
     }
 
-    /// Keeps a connection for the next attempt, if the endpoint still takes any.
+    /// Keeps a connection for later attempts if it leads to the current incarnation of an available endpoint.
     async fn return_idle(&self, endpoint: EndpointId, mut connection: Connection) {
         if !connection.become_idle().await
             || self.available_incarnation(endpoint) != Some(connection.incarnation())
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Notes that an endpoint has responded, on a connection of this origin.
+    /// Records that an endpoint has responded on a connection of this origin.
     pub(super) fn record_response(&self, endpoint: EndpointId, origin: ConnectionOrigin) {
         if let Some(idle) = self.endpoints.borrow_mut().idle_mut(endpoint) {
             idle.record_response();
@@ -182,12 +184,13 @@
         self.stale_connections.record_response(origin);
     }
 
-    /// Notes that a connection of this origin broke under a request.
+    /// Records that a connection of this origin broke during a request.
     pub(super) fn record_break(&self, origin: ConnectionOrigin) {
         self.stale_connections.record_break(origin);
     }
 
-    /// Notes that an endpoint rejected a request and closed its connection, as one does that has too many.
+    /// Records that an endpoint has rejected a request and closes the connection. Endpoints do so when they
+    /// have too many connections.
     pub(super) fn record_connection_rejected(&self, origin: ConnectionOrigin) {
         match origin {
             ConnectionOrigin::New => self.idle_timeout.record_new_connection_rejected(),
@@ -195,31 +198,31 @@
         }
     }
 
-    /// Closes the idle connections to an endpoint that has been unresponsive since `sent_at`.
+    /// Closes the idle connections to an endpoint if it has been unresponsive since `sent_at`.
     pub(super) fn close_if_unresponsive(&self, endpoint: EndpointId, sent_at: Instant) {
         if let Some(idle) = self.endpoints.borrow_mut().idle_mut(endpoint) {
             idle.close_if_unresponsive(sent_at);
         }
     }
 
-    /// What response bodies are buffered in.
+    /// Returns the budget for buffered response bodies.
     pub(super) fn buffer_budget(&self) -> &Rc<BufferBudget> {
         &self.buffer_budget
     }
 }
 
-/// A connection that an attempt uses. Dropping it closes the connection.
+/// A connection in use by an attempt. Dropping the lease closes the connection.
 pub(super) struct ConnectionLease {
     pool: Rc<UpstreamPool>,
     endpoint: EndpointId,
-    /// The connection itself.
+    /// The leased connection.
     pub connection: Connection,
-    /// Where it came from.
+    /// Origin of the connection.
     pub origin: ConnectionOrigin,
 }
 
 impl ConnectionLease {
-    /// Gives the connection back to the pool after a complete response.
+    /// Returns the connection to the pool after a complete response.
     pub fn return_idle(self) {
         let ConnectionLease { pool, endpoint, connection, .. } = self;
         tokio::task::spawn_local(async move { pool.return_idle(endpoint, connection).await });
--- a/src/node/upstream/request.rs
+++ b/src/node/upstream/request.rs
@@ -1,4 +1,4 @@
-//! A request as its attempts send it.
+//! Requests as attempts send them to endpoints.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -11,36 +11,36 @@
 use crate::body::{OutboundBody, RequestBody, UploadProgress};
 use crate::protocol::headers::REQ_DEADLINE;
 
-/// How often it is checked whether an endpoint still reads the body that is sent to it.
+/// Interval of the check whether the endpoint still reads the body that is sent to it.
 const UPLOAD_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// The least time for which an endpoint may read nothing of the body before the attempt fails.
+/// Minimum time without progress of the upload after which the attempt fails.
 const MIN_UPLOAD_STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A request as it is sent to endpoints.
+/// A request as attempts send it to endpoints.
 pub struct UpstreamRequest {
-    /// The method, unchanged.
+    /// Method, as the client sent it.
     pub method: Method,
-    /// Path and query, unchanged.
+    /// Path and query, as the client sent them.
     pub target: PathAndQuery,
-    /// All headers but the deadline, which each attempt states anew.
+    /// All headers except the deadline, which each attempt computes from the remaining time.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body.
     pub body: RequestBody,
-    /// How long the client waits, counted from its last byte.
+    /// How long the client waits for the response, counted from the last byte of its request.
     pub timeout: Duration,
-    /// When the last byte was received, if the body is buffered.
+    /// Time at which the last byte was received. Used only if the body is buffered.
     pub buffered_at: Instant,
-    /// Whether the request must never be executed twice.
+    /// Whether the request must never be executed more than once.
     pub non_idempotent: bool,
-    /// From when on no attempt may begin: endpoints may have forgotten by then that they executed the
-    /// request.
+    /// Time from which on no attempt may begin, because endpoints may no longer remember that they have
+    /// executed the request.
     pub begin_by: Cell<Option<Instant>>,
-    /// Whether the client has disconnected. An attempt of which nothing is written yet is then not sent.
+    /// Whether the client has disconnected. Attempts that have written nothing yet are then not sent.
     pub client_disconnected: Cell<bool>,
 }
 
 impl UpstreamRequest {
-    /// When the client's last byte was received, if it was.
+    /// Returns the time at which the last byte of the request was received, or `None` if it was not yet.
     pub fn received_at(&self) -> Option<Instant> {
         match &self.body {
             RequestBody::Buffered { .. } => Some(self.buffered_at),
@@ -51,14 +51,15 @@
         }
     }
 
-    /// Whether an attempt may begin now. While its connection was opened the body may have been forwarded to
-    /// another endpoint, the client may have disconnected, or the time may have passed.
+    /// Returns whether an attempt may begin now. While its connection was opened, the body may have been
+    /// forwarded to another endpoint, the client may have disconnected, or `begin_by` may have passed.
     pub(super) fn may_begin(&self) -> bool {
         let in_time = self.begin_by.get().is_none_or(|begin_by| Instant::now() < begin_by);
         self.body.is_replayable() && !self.client_disconnected.get() && in_time
     }
 
-    /// Returns when no response is of use any more, or the endpoint has stopped reading the body.
+    /// Waits until the client no longer waits for a response, or until the endpoint has stopped reading the
+    /// body.
     pub(super) async fn expired(&self) {
         loop {
             if let Some(received_at) = self.received_at() {
@@ -71,16 +72,16 @@
         }
     }
 
-    /// Whether the endpoint has read nothing of a body that is being forwarded for as long as the client
-    /// would wait for the response, and at least [`MIN_UPLOAD_STALL_TIMEOUT`].
+    /// Returns whether the body is being forwarded and the endpoint has read nothing of it for as long as the
+    /// client waits for the response, and for at least [`MIN_UPLOAD_STALL_TIMEOUT`].
     fn is_upload_stalled(&self) -> bool {
         let RequestBody::Streamed(stream) = &self.body else { return false };
         matches!(stream.progress(), UploadProgress::Forwarding)
             && stream.unpolled_for() >= self.timeout.max(MIN_UPLOAD_STALL_TIMEOUT)
     }
 
-    /// Whether the last byte of the request may be on the socket, once `written` bytes of it are,
-    /// `head_length` of them for the head.
+    /// Returns whether the last byte of the request may have been written to the socket, given that `written`
+    /// bytes have been and that the head has `head_length` bytes.
     pub(super) fn may_be_complete(&self, head_length: u64, written: u64) -> bool {
         match self.body.length() {
             Some(body_length) => written >= head_length + body_length,
@@ -88,8 +89,8 @@
         }
     }
 
-    /// The HTTP request, with the time that is left in its deadline header. `None` if that is no header
-    /// value.
+    /// Returns the HTTP request, with the remaining time in its deadline header, or `None` if that is not a
+    /// valid header value.
     pub(super) fn to_http(&self) -> Option<Request<OutboundBody>> {
         let elapsed = self.received_at().map_or(Duration::ZERO, |at| at.elapsed());
         let remaining = self.timeout.saturating_sub(elapsed).as_secs_f64();
@@ -103,7 +104,7 @@
     }
 }
 
-/// How many bytes the head of a request takes on the socket, as hyper writes one that has all of its headers:
+/// Returns the length in bytes of the head that hyper writes for a request to which it adds no headers:
 /// `METHOD target HTTP/1.1`, a line `name: value` for each header, and an empty line.
 pub(super) fn head_length(request: &Request<OutboundBody>) -> u64 {
     const AFTER_TARGET: usize = " HTTP/1.1\r\n".len();
--- a/src/node/upstream/response.rs
+++ b/src/node/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Responses of endpoints: how they state their end, and the ones that pass through to the client.
+//! Responses of endpoints: their framing, and those that are streamed to the client.
 
 use hyper::header::{self, HeaderMap, HeaderValue};
 use mothspool::Outcome;
@@ -7,18 +7,18 @@
 use crate::body::{BufferedPrefix, IncomingBody, ResponseBody, StreamingResponseBody, TransferEnd};
 use crate::protocol::headers::SRV_DECLINED;
 
-/// How a response states where it ends.
+/// How the end of a response is determined.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ResponseFraming {
-    /// By its length or its last chunk. The connection can be used again.
+    /// By a length or by a last chunk. The connection can be reused.
     SelfDelimited,
-    /// With its connection, as `Connection: close` says.
+    /// By the close of the connection, which `Connection: close` announces.
     UntilClose,
 }
 
 impl ResponseFraming {
-    /// The framing of a response with these headers; `None` if it is ambiguous or missing, as a part of such
-    /// a response would look complete.
+    /// Returns the framing of a response with these headers, or `None` if it is ambiguous or missing, because
+    /// a truncated response would then look complete.
     pub fn of(headers: &HeaderMap) -> Option<ResponseFraming> {
         let encodings: Vec<&HeaderValue> = headers.get_all(header::TRANSFER_ENCODING).iter().collect();
         match (&encodings[..], headers.contains_key(header::CONTENT_LENGTH)) {
@@ -31,13 +31,13 @@
         }
     }
 
-    /// Whether the connection can be used again after the response.
+    /// Returns whether the connection can be reused after the response.
     pub fn keeps_connection(self) -> bool {
         self == ResponseFraming::SelfDelimited
     }
 }
 
-/// Whether the endpoint closes the connection after the response with these headers.
+/// Returns whether the endpoint closes the connection after a response with these headers.
 pub(super) fn closes_connection(headers: &HeaderMap) -> bool {
     let has_close = |value: &HeaderValue| {
         value.to_str().is_ok_and(|v| v.split(',').any(|option| option.trim().eq_ignore_ascii_case("close")))
@@ -45,22 +45,22 @@
     headers.get_all(header::CONNECTION).iter().any(has_close)
 }
 
-/// Whether the endpoint says that it rejected the request without executing it.
+/// Returns whether these headers say that the endpoint rejected the request without executing it.
 pub(super) fn is_rejection(headers: &HeaderMap) -> bool {
     headers.get(SRV_DECLINED).is_some_and(|value| value.as_bytes() == b"1")
 }
 
-/// The body of a response of which the first piece was read, and the rest passes through to the client.
+/// The body of a response of which the first part has been read and the rest is streamed to the client.
 pub struct StreamingResponse {
     pub(super) prefix: BufferedPrefix,
     pub(super) rest: IncomingBody,
-    /// Held until the end, as dropping it closes the connection.
+    /// Held until the end of the response, because dropping it closes the connection.
     pub(super) lease: ConnectionLease,
     pub(super) keeps_connection: bool,
 }
 
 impl StreamingResponse {
-    /// The body for the client. `on_end` is called with the outcome of the attempt.
+    /// Converts the response into the body for the client. Calls `on_end` with the outcome of the attempt.
     pub fn into_body(self, on_end: impl FnOnce(Outcome) + 'static) -> ResponseBody {
         let StreamingResponse { prefix, rest, lease, keeps_connection } = self;
         ResponseBody::streaming(StreamingResponseBody::new(prefix, rest, move |end| match end {
--- a/src/node/upstream/stale_connections.rs
+++ b/src/node/upstream/stale_connections.rs
@@ -1,23 +1,28 @@
-//! After how long an idle connection is stale, learned from connections that broke under a request.
+//! Estimate of the idle time after which a connection is stale, based on connections that broke during a
+//! request.
 //!
-//! A firewall or proxy on the way may drop the state of a connection that has been idle for some time, and
-//! show that only at the next request. Elsewhere connections break whether they are new or reused, and to
-//! open more of them helps nobody. To tell the two apart, uses and breaks of connections are counted: those
-//! of new connections, and those of reused ones by how long they had been idle, in buckets of half an octave.
-//! All counts decay with the time constant [`DECAY_TIME_CONSTANT`].
+//! A firewall or proxy between node and endpoint may drop the state of a connection that has been idle for
+//! some time, which shows only at the next request. If instead new and reused connections break equally
+//! often, opening new ones does not help. To distinguish the two cases, the estimator counts uses and breaks
+//! of new connections, and those of reused connections by idle time, in buckets of half an octave. All counts
+//! decay exponentially with the time constant [`DECAY_TIME_CONSTANT`].
 //!
-//! For each bucket `i` let `u` and `b` be the uses and breaks in the buckets from `i` on, and `U` and `B`
-//! those of all shorter idle times and of new connections. Then
+//! For each bucket `i` of idle times:
 //!
 //! ```text
-//! baseline  p = (B + 1) / (U + PRIOR_USES)
-//! evidence  e = b ln((b / u) / p) + (u - b) ln(((u - b) / u) / (1 - p))
+//! p = (B + 1) / (U + PRIOR_USES)
+//! e = b ln((b / u) / p) + (u - b) ln(((u - b) / u) / (1 - p))
+//!
+//! p     baseline: probability that a new connection, or one with a shorter idle time, breaks
+//! e     evidence: logarithm of the ratio of two likelihoods, that connections with this idle time or a
+//!       longer one break at a rate of their own, and that they break at the baseline rate
+//! u, b  uses and breaks in bucket i and all later ones
+//! U, B  uses and breaks in all earlier buckets and of new connections
 //! ```
 //!
-//! where `e` is the logarithm of the ratio of two likelihoods: that connections of that idle time and longer
-//! break at a rate of their own, and that they break at the baseline. The limit is the start of the bucket
-//! with the largest `e`, among those with `e >= MIN_EVIDENCE` and `b > (p + margin) u`. What breaks after
-//! some time breaks after a longer one too, so one limit is enough.
+//! The limit is the start of the bucket with the largest `e` among those with `e >= MIN_EVIDENCE` and
+//! `b > (p + margin) u`. One limit is enough, because a connection that is stale after some idle time is also
+//! stale after a longer one.
 
 use std::cell::RefCell;
 use std::ops::Add;
@@ -27,29 +32,29 @@
 
 use super::connection::ConnectionOrigin;
 
-/// All idle times up to this and a half octave more are in the first bucket.
-const FIRST_BUCKET: Duration = Duration::from_millis(5);
-/// How many buckets there are. The last one also has all longer idle times.
+/// Start of the first bucket, which also counts all shorter idle times.
+const FIRST_BUCKET_START: Duration = Duration::from_millis(5);
+/// Number of buckets. The last one also counts all longer idle times.
 const BUCKET_COUNT: usize = 26;
-/// How many buckets an octave of idle times has.
+/// Number of buckets per octave of idle times.
 const BUCKETS_PER_OCTAVE: f64 = 2.0;
-/// The time constant of the counts' decay. A limit is lifted, and longer idle times are tried again, once
-/// their breaks are forgotten.
+/// Time constant of the decay of the counts. Once breaks have decayed, their limit is lifted and longer idle
+/// times are tried again.
 const DECAY_TIME_CONSTANT: Duration = Duration::from_secs(20);
-/// The prior of the baseline: one break in so many uses, as connections break everywhere at times.
+/// Prior of the baseline: one break in this many uses, because connections occasionally break everywhere.
 const PRIOR_USES: f64 = 20.0;
-/// The least evidence for a limit, as the natural logarithm of a likelihood ratio. A node in a large fleet
-/// sees few requests a second, and to it a single break proves nothing.
+/// Minimum evidence for a limit, as the natural logarithm of a likelihood ratio. A node of a large fleet gets
+/// few requests per second, so that a single break is not enough evidence for it.
 const MIN_EVIDENCE: f64 = 4.0;
-/// An idle time counts as tried if its bucket has so many uses.
+/// Minimum number of uses in a bucket for its idle times to count as tried.
 const MIN_TRIED_USES: f64 = 0.5;
-/// How much more often than the baseline a reused connection may break, as a probability: what a handshake
-/// costs.
+/// Allowed excess of the break probability of reused connections over the baseline. It represents the cost of
+/// the handshake of a new connection.
 const HANDSHAKE_MARGIN: f64 = 0.2;
-/// The same for a non-idempotent request, which is lost with its connection.
+/// Allowed excess for non-idempotent requests, which are lost when their connection breaks.
 const NON_IDEMPOTENT_MARGIN: f64 = 0.05;
 
-/// Uses of connections, and how many of them broke.
+/// Number of uses of connections, and how many of them ended in a break.
 #[derive(Clone, Copy, Default)]
 struct UseCounts {
     total: f64,
@@ -65,12 +70,13 @@
 }
 
 impl UseCounts {
-    /// The probability of a break, with the prior added.
+    /// Returns the probability of a break, with the prior of the baseline.
     fn break_rate(self) -> f64 {
         (self.broken + 1.0) / (self.total + PRIOR_USES)
     }
 
-    /// How much likelier (as a natural logarithm) these uses broke at a rate of their own than at `baseline`.
+    /// Returns the natural logarithm of the ratio of two likelihoods: that these uses break at a rate of
+    /// their own, and that they break at the rate `baseline`.
     fn evidence_against(self, baseline: f64) -> f64 {
         let term = |count: f64, expected: f64| {
             if count > 0.0 { count * (count / self.total / expected).ln() } else { 0.0 }
@@ -79,7 +85,7 @@
     }
 }
 
-/// A count that decays with the time constant [`DECAY_TIME_CONSTANT`].
+/// Counts that decay exponentially with the time constant [`DECAY_TIME_CONSTANT`].
 #[derive(Clone, Copy)]
 struct DecayingUseCounts {
     uses: UseCounts,
@@ -101,15 +107,15 @@
     }
 }
 
-/// Estimates after how long an idle connection is stale; see the module's documentation.
+/// Estimates the idle time after which connections are stale; see the module's documentation.
 pub struct StaleConnectionEstimator {
     new: RefCell<DecayingUseCounts>,
-    /// By idle time.
+    /// One entry per bucket of idle times.
     reused: RefCell<[DecayingUseCounts; BUCKET_COUNT]>,
 }
 
 impl StaleConnectionEstimator {
-    /// An estimator that has seen nothing.
+    /// Creates an estimator without any observations.
     pub fn new() -> StaleConnectionEstimator {
         StaleConnectionEstimator {
             new: RefCell::new(DecayingUseCounts::new()),
@@ -117,12 +123,12 @@
         }
     }
 
-    /// A request on a connection of this origin got a response.
+    /// Records that a request on a connection of this origin got a response.
     pub fn record_response(&self, origin: ConnectionOrigin) {
         self.record(origin, UseCounts { total: 1.0, broken: 0.0 });
     }
 
-    /// A connection of this origin broke under a request.
+    /// Records that a connection of this origin broke during a request.
     pub fn record_break(&self, origin: ConnectionOrigin) {
         self.record(origin, UseCounts { total: 1.0, broken: 1.0 });
     }
@@ -136,27 +142,29 @@
         }
     }
 
-    /// For how long a connection may have been idle to be as good as a new one, for a request that is
-    /// `non_idempotent` or for others. [`Duration::MAX`] if there is no limit.
+    /// Returns the idle time up to which a connection may be reused for a non-idempotent request or for other
+    /// requests. [`Duration::MAX`] means that there is no limit.
     pub fn max_idle(&self, non_idempotent: bool) -> Duration {
         let margin = if non_idempotent { NON_IDEMPOTENT_MARGIN } else { HANDSHAKE_MARGIN };
         let reused = self.reused.borrow().map(|bucket| bucket.current());
         let Some(mut bucket) = self.first_stale_bucket(&reused, margin) else { return Duration::MAX };
-        // Shorter idle times that were not tried may be stale too: other requests find that out.
+        // Connections with shorter idle times that have not been tried may be stale too. Other requests try
+        // them.
         while non_idempotent && bucket > 0 && reused[bucket - 1].total < MIN_TRIED_USES {
             bucket -= 1;
         }
         bucket_start(bucket)
     }
 
-    /// The bucket from which on connections are most evidently stale, if there is enough evidence for any.
+    /// Returns the first bucket of stale connections: the one with the most evidence, or `None` if no bucket
+    /// has enough.
     fn first_stale_bucket(&self, reused: &[UseCounts; BUCKET_COUNT], margin: f64) -> Option<usize> {
         let mut shorter = self.new.borrow().current();
         let (mut most_evidence, mut stale_from) = (MIN_EVIDENCE, None);
         for (bucket, uses) in reused.iter().enumerate() {
             let baseline = shorter.break_rate();
-            // Summed for each bucket: the rounding errors of a running difference would look like strong
-            // evidence.
+            // The sum is computed anew for each bucket, because the rounding errors of a running difference
+            // would look like strong evidence.
             let longer = reused[bucket..].iter().fold(UseCounts::default(), |sum, uses| sum + *uses);
             let evidence = longer.evidence_against(baseline);
             if longer.broken > (baseline + margin) * longer.total && evidence >= most_evidence {
@@ -168,15 +176,15 @@
     }
 }
 
-/// The bucket of an idle time.
+/// Returns the index of the bucket that counts an idle time.
 fn bucket_index(idle_for: Duration) -> usize {
-    let octaves = (idle_for.as_secs_f64() / FIRST_BUCKET.as_secs_f64()).max(1.0).log2();
+    let octaves = (idle_for.as_secs_f64() / FIRST_BUCKET_START.as_secs_f64()).max(1.0).log2();
     ((octaves * BUCKETS_PER_OCTAVE) as usize).min(BUCKET_COUNT - 1)
 }
 
-/// The shortest idle time of a bucket.
+/// Returns the shortest idle time of a bucket.
 fn bucket_start(bucket: usize) -> Duration {
-    FIRST_BUCKET.mul_f64(2f64.powf(bucket as f64 / BUCKETS_PER_OCTAVE))
+    FIRST_BUCKET_START.mul_f64(2f64.powf(bucket as f64 / BUCKETS_PER_OCTAVE))
 }
 
 #[cfg(test)]
--- a/src/node/upstream/stall.rs
+++ b/src/node/upstream/stall.rs
@@ -1,4 +1,4 @@
-//! Detection of responses that have begun and do not continue.
+//! Detection of responses that stall after they have begun.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,17 +11,17 @@
 use crate::body::OutboundBody;
 use crate::net::UpstreamSocket;
 
-/// A response that has begun and of which nothing more arrives for this long is stalled.
+/// Time without further data after which a response that has begun counts as stalled.
 const RESPONSE_PROGRESS_TIMEOUT: Duration = Duration::from_millis(300);
-/// How many informational responses (1xx) may precede a response.
+/// Maximum number of informational responses (1xx) before a final response.
 const MAX_INFORMATIONAL_RESPONSES: usize = 16;
 
-/// Counts the informational responses (1xx) that a request has received. hyper wants its callback to be
-/// `Send`, hence the atomic.
+/// Counts the informational responses (1xx) to a request. The counter is atomic because hyper requires its
+/// callback to be `Send`.
 pub struct InformationalCounter(Arc<AtomicUsize>);
 
 impl InformationalCounter {
-    /// A counter of those that this request will receive.
+    /// Creates a counter and attaches it to a request before that is sent.
     pub fn attach(request: &mut Request<OutboundBody>) -> InformationalCounter {
         let counter = Arc::new(AtomicUsize::new(0));
         let received = counter.clone();
@@ -36,10 +36,10 @@
     }
 }
 
-/// Returns when a response has begun to arrive on the socket and does not continue.
+/// Waits until a response has begun to arrive on the socket and has then stalled.
 ///
-/// An informational response may precede the final one by any time, so that silence after one is not a stall;
-/// but there may be only so many of them.
+/// The final response may follow an informational one after any time, so a pause after an informational
+/// response is not a stall. At most [`MAX_INFORMATIONAL_RESPONSES`] of them are allowed.
 pub async fn response_stalled(socket: &UpstreamSocket, informational: &InformationalCounter) {
     let mut previous_count = 0;
     loop {
--- a/tests/unit/idle_timeout.rs
+++ b/tests/unit/idle_timeout.rs
@@ -1,9 +1,9 @@
-//! The idle timeout follows the rejections of new and of reused connections.
+//! Changes of the idle timeout with rejections of new and of reused connections.
 
 use super::*;
 
 #[test]
-fn the_idle_timeout_shrinks_to_its_minimum_while_new_connections_are_rejected() {
+fn shrinks_to_the_minimum_while_new_connections_are_rejected() {
     let policy = IdleTimeoutPolicy::new(Duration::from_secs(40));
     (0..4).for_each(|_| policy.record_new_connection_rejected());
     let max_idle = policy.max_idle().as_secs_f64();
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_idle_timeout_stays_where_reused_connections_are_rejected_too() {
+fn returns_to_the_maximum_while_mostly_reused_connections_are_rejected() {
     let policy = IdleTimeoutPolicy::new(Duration::from_secs(40));
     for n in 0..20 {
         if n % 4 == 0 {
--- a/tests/unit/response_framing.rs
+++ b/tests/unit/response_framing.rs
@@ -1,4 +1,4 @@
-//! A response is used only if its end is stated, and in one way.
+//! Detection of the framing of responses, and of headers that state none or an ambiguous one.
 
 use hyper::header::HeaderName;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_length_or_chunks_delimit_a_response() {
+fn content_length_or_chunked_encoding_delimits_a_response() {
     for headers in [
         &[("content-length", "5")][..],
         &[("transfer-encoding", "chunked")],
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn without_either_a_response_ends_with_its_connection_if_it_says_so() {
+fn connection_close_delimits_a_response_without_length_or_chunked_encoding() {
     for headers in [&[("connection", "close")][..], &[("connection", "keep-alive, CLOSE ")]] {
         let framing = framing_of(headers);
         assert!(framing.is_some_and(|framing| !framing.keeps_connection()), "{headers:?}");
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_response_without_framing_or_with_ambiguous_framing_has_none() {
+fn missing_or_ambiguous_framing_is_no_framing() {
     for headers in [
         &[][..],
         &[("connection", "keep-alive")],
--- a/tests/unit/stale_connections.rs
+++ b/tests/unit/stale_connections.rs
@@ -1,4 +1,4 @@
-//! The estimator finds idle times after which connections break, and tells them from chance.
+//! Estimation of the idle time after which connections are stale, as opposed to breaks by chance.
 
 use super::*;
 
@@ -14,15 +14,25 @@
     ConnectionOrigin::Reused { idle_for: Duration::from_millis(millis) }
 }
 
-/// Requests after each of these idle times, in milliseconds, so many `times`; one in so many breaks.
-fn record_reused(estimator: &StaleConnectionEstimator, idle_times: &[u64], times: usize, one_in: usize) {
+/// Records `times` uses of reused connections for each of these idle times in milliseconds. Every
+/// `break_interval`-th use is a break.
+fn record_reused(
+    estimator: &StaleConnectionEstimator,
+    idle_times: &[u64],
+    times: usize,
+    break_interval: usize,
+) {
     for n in 0..times * idle_times.len() {
-        record(estimator, idle_for(idle_times[n % idle_times.len()]), n % one_in == one_in - 1);
+        record(
+            estimator,
+            idle_for(idle_times[n % idle_times.len()]),
+            n % break_interval == break_interval - 1,
+        );
     }
 }
 
 #[test]
-fn breaks_of_new_and_reused_connections_alike_set_no_limit() {
+fn sets_no_limit_if_new_and_reused_connections_break_alike() {
     let estimator = StaleConnectionEstimator::new();
     (0..40).for_each(|n| record(&estimator, ConnectionOrigin::New, n % 20 == 0));
     record_reused(&estimator, &[6, 20, 60, 300, 900, 3000], 5, 11);
@@ -30,7 +40,7 @@
 }
 
 #[test]
-fn one_break_after_a_rare_idle_time_sets_no_limit() {
+fn sets_no_limit_after_a_single_break() {
     let estimator = StaleConnectionEstimator::new();
     record_reused(&estimator, &[6, 20, 60], 5, 100);
     record(&estimator, idle_for(3000), true);
@@ -38,7 +48,7 @@
 }
 
 #[test]
-fn the_idle_time_after_which_connections_break_is_found_among_shorter_ones() {
+fn finds_the_idle_time_after_which_connections_break() {
     let estimator = StaleConnectionEstimator::new();
     (0..40).for_each(|n| record(&estimator, ConnectionOrigin::New, n % 20 == 0));
     record_reused(&estimator, &[6, 20, 60, 120], 10, 15);
