--- a/src/node/upstream/request.rs
+++ b/src/node/upstream/request.rs
@@ -40,7 +40,7 @@
 }
 
 impl UpstreamRequest {
-    /// Returns the time at which the last byte of the request was received, or `None` if it was not yet.
+    /// Returns the time at which the last byte of the request was received, or `None` if it has not been.
     pub fn received_at(&self) -> Option<Instant> {
         match &self.body {
             RequestBody::Buffered { .. } => Some(self.buffered_at),
--- a/src/node/upstream/stale_connections.rs
+++ b/src/node/upstream/stale_connections.rs
@@ -13,7 +13,7 @@
 //! p = (B + 1) / (U + PRIOR_USES)
 //! e = b ln((b / u) / p) + (u - b) ln(((u - b) / u) / (1 - p))
 //!
-//! p     baseline: probability that a new connection, or one with a shorter idle time, breaks
+//! p     baseline: estimated probability that a connection that is new or has a shorter idle time breaks
 //! e     evidence: logarithm of the ratio of two likelihoods, that connections with this idle time or a
 //!       longer one break at a rate of their own, and that they break at the baseline rate
 //! u, b  uses and breaks in bucket i and all later ones
--- a/tests/node/connection_setup.rs
+++ b/tests/node/connection_setup.rs
@@ -1,5 +1,5 @@
-//! Requests that wait for an upstream connection while their endpoint drains or enters maintenance, while their
-//! idempotency window ends, or while there is no descriptor.
+//! Requests that wait for an upstream connection while their endpoint starts draining or enters maintenance,
+//! while their idempotency window ends, or while there is no descriptor.
 
 use std::net::TcpListener;
 use std::thread;
@@ -9,26 +9,29 @@
 
 use crate::support::*;
 
-/// Accepts all connections to the listener and asserts that no request arrives on one before the node has responded
-/// once more.
-fn assert_no_request_arrives(a: &TcpListener, backlog: usize, node: &Node) {
+/// Accepts all connections to the listener, and asserts that no request arrives on any of them before the
+/// node has responded to another request.
+fn assert_no_request_arrives(listener: &TcpListener, backlog: usize, node: &Node) {
     for _ in 0..backlog {
-        drop(accept_connection(a));
+        drop(accept_connection(listener));
     }
     assert_eq!(node.client().exchange(&view_request()).body, b"other");
-    a.set_nonblocking(true).unwrap();
-    // A connection that was established after all is closed without a byte.
-    while let Ok((stream, _)) = a.accept() {
+    listener.set_nonblocking(true).unwrap();
+    // The node closes a connection that was established later without writing to it.
+    while let Ok((stream, _)) = listener.accept() {
         stream.set_nonblocking(false).unwrap();
-        assert!(Connection::from_stream(stream).try_receive().is_none(), "a request was written to it");
+        assert!(
+            Connection::from_stream(stream).try_receive().is_none(),
+            "a request was written to the connection"
+        );
     }
 }
 
 #[test]
-fn a_request_waiting_for_a_connection_moves_when_the_endpoint_drains() {
-    let (a, backlog) = listener_with_full_backlog();
+fn a_waiting_request_moves_to_another_endpoint_when_its_endpoint_drains() {
+    let (full_listener, backlog) = listener_with_full_backlog();
     let other = UpstreamServer::new(|_, _| ok("other"));
-    let node = Node::with_config(&[listening_endpoint("a", &a, "ready")], |config| {
+    let node = Node::with_config(&[listening_endpoint("a", &full_listener, "ready")], |config| {
         config["settings"]["allowed"]["connect_timeout_us"] = 5_000_000.into();
     });
     let mut watch = Watch::accept(&node.discovery);
@@ -37,25 +40,26 @@
     for client in &mut clients {
         client.send(&order_request());
     }
-    // Both wait for a connection now.
+    // Four more descriptors: both clients and the two connections that their requests wait for.
     while node.open_descriptors() < before + 4 {}
-    watch.send_delta(42, &[listening_endpoint("a", &a, "draining"), ready_endpoint("b", &other)]);
+    watch.send_delta(42, &[listening_endpoint("a", &full_listener, "draining"), ready_endpoint("b", &other)]);
     watch.keep_alive();
     while node.client().exchange(&view_request()).body != b"other" {}
-    assert_no_request_arrives(&a, backlog.len(), &node);
+    assert_no_request_arrives(&full_listener, backlog.len(), &node);
     for client in &mut clients {
         assert_eq!(client.receive().body, b"other");
     }
 }
 
 #[test]
-fn a_request_waiting_for_a_connection_moves_when_the_endpoint_enters_maintenance() {
-    let (a, backlog) = listener_with_full_backlog();
+fn a_waiting_request_moves_to_another_endpoint_when_its_endpoint_enters_maintenance() {
+    let (full_listener, backlog) = listener_with_full_backlog();
     let other = UpstreamServer::new(|_, _| ok("other"));
     let state_dir = state_dir();
-    let node = Node::with_admin_config(&[listening_endpoint("a", &a, "ready")], &state_dir, |config| {
-        config["settings"]["allowed"]["connect_timeout_us"] = 5_000_000.into();
-    });
+    let node =
+        Node::with_admin_config(&[listening_endpoint("a", &full_listener, "ready")], &state_dir, |config| {
+            config["settings"]["allowed"]["connect_timeout_us"] = 5_000_000.into();
+        });
     let mut watch = Watch::accept(&node.discovery);
     let before = node.open_descriptors();
     let mut client = node.client();
@@ -65,28 +69,30 @@
     watch.send_delta(42, &[ready_endpoint("b", &other)]);
     watch.keep_alive();
     while node.client().exchange(&view_request()).body != b"other" {}
-    // After maintenance the endpoint counts as restarted: connections begun before are not used.
+    // After maintenance the endpoint counts as restarted: connections that were begun before are not used.
     assert_eq!(node.set_maintenance("exit", "a"), 200);
     assert_eq!(node.set_maintenance("enter", "a"), 200);
-    assert_no_request_arrives(&a, backlog.len(), &node);
+    assert_no_request_arrives(&full_listener, backlog.len(), &node);
     assert_eq!(client.receive().body, b"other");
 }
 
-/// A retry may be decided within the window and its connection be established after it: it could execute again.
+/// A retry may be decided within the idempotency window while its connection is established only after the
+/// window. If it were sent then, the request could be executed twice.
 #[test]
-fn a_retry_whose_connection_is_established_after_the_window_is_not_sent() {
-    const WINDOW: Duration = Duration::from_millis(1500);
-    let a = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (b, backlog) = listener_with_full_backlog();
-    let node = Node::with_config(&[listening_endpoint("a", &a, "ready")], |config| {
+fn a_retry_whose_connection_is_established_after_the_idempotency_window_is_not_sent() {
+    const IDEMPOTENCY_WINDOW: Duration = Duration::from_millis(1500);
+    let first_listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (retry_listener, backlog) = listener_with_full_backlog();
+    let node = Node::with_config(&[listening_endpoint("a", &first_listener, "ready")], |config| {
         config["settings"]["allowed"]["connect_timeout_us"] = 10_000_000.into();
-        config["settings"]["services"][1]["window_us"] = (WINDOW.as_micros() as u64).into();
+        config["settings"]["services"][1]["window_us"] = (IDEMPOTENCY_WINDOW.as_micros() as u64).into();
     });
     let mut watch = Watch::accept(&node.discovery);
-    // Two connections: the request goes on one, and the close of the other shows that the drain is known.
+    // There are two connections: one carries the request, and the close of the other shows that the node
+    // knows that the endpoint is draining.
     let mut clients = [node.client(), node.client()];
     clients.iter_mut().for_each(|client| client.send(&view_request()));
-    let [(mut idle, _), (mut used, _)] = [accept_request(&a), accept_request(&a)];
+    let [(mut idle, _), (mut used, _)] = [accept_request(&first_listener), accept_request(&first_listener)];
     for connection in [&mut idle, &mut used] {
         connection.send(&response(200, "", "slip"));
         pause_before_reuse();
@@ -96,32 +102,41 @@
     client.send(&submit_request());
     assert!(used.receive().start_line.starts_with("POST"));
     let sent_at = Instant::now();
-    watch.send_delta(42, &[listening_endpoint("a", &a, "draining"), listening_endpoint("b", &b, "ready")]);
+    watch.send_delta(
+        42,
+        &[
+            listening_endpoint("a", &first_listener, "draining"),
+            listening_endpoint("b", &retry_listener, "ready"),
+        ],
+    );
     assert!(idle.reaches_close());
     let before = node.open_descriptors();
     drop(used);
-    // The retry waits for a connection in place of the one that closed.
-    while node.open_descriptors() < before && sent_at.elapsed() < WINDOW {}
-    thread::sleep((sent_at + WINDOW).saturating_duration_since(Instant::now()));
+    // The connection that the retry waits for replaces the one that was closed.
+    while node.open_descriptors() < before && sent_at.elapsed() < IDEMPOTENCY_WINDOW {}
+    thread::sleep((sent_at + IDEMPOTENCY_WINDOW).saturating_duration_since(Instant::now()));
     for _ in backlog {
-        drop(accept_connection(&b));
+        drop(accept_connection(&retry_listener));
     }
-    // It may have executed, and may not execute again.
+    // The request may have been executed, and must not be executed again.
     assert!([502, 504].contains(&client.receive().status()));
-    b.set_nonblocking(true).unwrap();
-    while let Ok((stream, _)) = b.accept() {
+    retry_listener.set_nonblocking(true).unwrap();
+    while let Ok((stream, _)) = retry_listener.accept() {
         stream.set_nonblocking(false).unwrap();
-        assert!(Connection::from_stream(stream).try_receive().is_none(), "it was sent again");
+        assert!(Connection::from_stream(stream).try_receive().is_none(), "the request was sent again");
     }
 }
 
-/// No idle connection is left: all that there are carry requests that wait.
+/// All connections carry pending requests, so the node cannot close an idle connection to get a descriptor.
 #[test]
 fn a_request_without_a_descriptor_for_its_connection_waits_for_one() {
     let listeners: Vec<TcpListener> = (0..4).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
-    let endpoints: Vec<Value> =
-        (0..).zip(&listeners).map(|(n, l)| listening_endpoint(&format!("s{n}"), l, "ready")).collect();
-    // Two of 36 sockets are for upstream connections; or the process runs out of descriptors without knowing its limit.
+    let endpoints: Vec<Value> = (0..)
+        .zip(&listeners)
+        .map(|(n, listener)| listening_endpoint(&format!("s{n}"), listener, "ready"))
+        .collect();
+    // Either the process runs out of descriptors below its configured limit of 1024, or both of the upstream
+    // connections that a limit of 36 sockets allows are in use.
     for (sockets, exhausted) in [(1024, true), (36, false)] {
         let node = Node::with_sockets(&endpoints, sockets);
         Watch::accept(&node.discovery).keep_alive();
--- a/tests/node/upstream_responses.rs
+++ b/tests/node/upstream_responses.rs
@@ -1,4 +1,4 @@
-//! Truncated, ambiguous and surplus responses of endpoints.
+//! Truncated, ambiguous, stalled and surplus responses of endpoints.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
@@ -12,8 +12,8 @@
 
 #[test]
 fn an_incomplete_response_is_not_forwarded() {
-    let turns = AtomicUsize::new(0);
-    let upstream = UpstreamServer::new(move |_, _| match turns.fetch_add(1, Ordering::SeqCst) {
+    let request_count = AtomicUsize::new(0);
+    let upstream = UpstreamServer::new(move |_, _| match request_count.fetch_add(1, Ordering::SeqCst) {
         0 => Reply::SendAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec()),
         _ => ok("whole"),
     });
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_response_without_clear_framing_is_retried() {
+fn a_request_is_retried_after_a_response_with_missing_or_ambiguous_framing() {
     let heads = [
         "HTTP/1.1 200 OK\r\n\r\nhalf",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nhalf",
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_stalled_response_fails_its_attempt_early() {
-    let stuck: [&[u8]; 6] = [
+    let stalled_responses: [&[u8]; 6] = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
         b"HTTP/1.1 200 OK\r\nX-Pad: 1\r\n",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -48,7 +48,7 @@
         b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
         b"HTT",
     ];
-    for bytes in stuck {
+    for bytes in stalled_responses {
         let upstream = UpstreamServer::new(move |_, _| Reply::Send(bytes.to_vec()));
         let node = Node::start(&[ready_endpoint("a", &upstream)]);
         let started = Instant::now();
@@ -58,28 +58,30 @@
             "{}",
             String::from_utf8_lossy(bytes)
         );
-        assert!(started.elapsed() < Duration::from_secs(10), "long before its deadline");
+        assert!(started.elapsed() < Duration::from_secs(10), "the attempt fails long before its deadline");
         assert_eq!((upstream.next_closed_connection(), upstream.request_count()), (0, 1));
     }
 }
 
 #[test]
-fn informational_responses_and_odd_load_reports_are_tolerated() {
-    let hints = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n".to_vec();
+fn informational_responses_and_malformed_load_headers_are_accepted() {
+    let informational =
+        b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n".to_vec();
     let upstream = UpstreamServer::new(move |_, _| {
         let response = response(200, "Srv-Load: TEXT inflight=\u{fffd}, =,=%%\r\n", "paid");
-        Reply::SendDelayed(hints.clone(), Duration::from_secs(1), response)
+        Reply::SendDelayed(informational.clone(), Duration::from_secs(1), response)
     });
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     assert_eq!(node.client().exchange(&order_request()).body, b"paid");
 }
 
-/// For how long the node does not reuse a connection after a response.
+/// Minimum idle time after a response before the node reuses a connection.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
 
-/// An endpoint that sends a second response this long after each one. It reports whether both were sent within
-/// [`REUSE_DELAY`]: on a busy machine the second may be later, and then nothing distinguishes it from the next response.
-fn upstream_with_stale_responses(delay: Duration) -> (SocketAddr, Receiver<bool>) {
+/// Starts an endpoint that sends a surplus response this long after each response. The returned receiver
+/// gets, for each pair, whether both were sent within [`REUSE_DELAY`]. On a busy machine the surplus response
+/// may be sent later, and the node cannot distinguish it from the response to its next request then.
+fn upstream_with_surplus_responses(delay: Duration) -> (SocketAddr, Receiver<bool>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (sender, in_time) = channel();
@@ -102,20 +104,23 @@
     (address, in_time)
 }
 
-/// Right after it, and some milliseconds later, when the next request might be on the connection already.
+/// The surplus bytes arrive 2 ms after the response, or 8 ms after it, when the next request might already
+/// have been sent on the connection.
 #[test]
 fn surplus_bytes_after_a_response_are_not_taken_for_the_next_response() {
-    for (delay, pause) in [(2, 0), (8, 6)].map(|(a, b)| (Duration::from_millis(a), Duration::from_millis(b)))
-    {
-        check_stale_responses(delay, pause);
+    let millis = |(delay, pause)| (Duration::from_millis(delay), Duration::from_millis(pause));
+    for (delay, pause) in [(2, 0), (8, 6)].map(millis) {
+        check_surplus_responses(delay, pause);
     }
 }
 
-fn check_stale_responses(delay: Duration, pause: Duration) {
+/// Asserts that surplus responses, sent `delay` after each response, are ignored when the client pauses for
+/// `pause` after each response. Repeats this until 10 rounds had all surplus responses in time.
+fn check_surplus_responses(delay: Duration, pause: Duration) {
     let was_in_time = |reports: &Receiver<bool>| reports.recv_timeout(EVENT_TIMEOUT).unwrap();
     let mut valid_rounds = 0;
     for _ in 0..1000 {
-        let (address, in_time) = upstream_with_stale_responses(delay);
+        let (address, in_time) = upstream_with_surplus_responses(delay);
         let node = Node::start(&[endpoint_entry("a", address, 1, "ready")]);
         let mut client = node.client();
         let exchange = |_| {
@@ -126,18 +131,18 @@
         let responses: Vec<Message> = (0..4).map(exchange).collect();
         if (0..4).all(|_| was_in_time(&in_time)) {
             let bodies: Vec<&[u8]> = responses.iter().map(|response| &response.body[..]).collect();
-            assert_eq!(bodies, [b"0", b"1", b"2", b"3"], "{delay:?} later");
+            assert_eq!(bodies, [b"0", b"1", b"2", b"3"], "surplus responses after {delay:?}");
             valid_rounds += 1;
             if valid_rounds == 10 {
                 return;
             }
         }
     }
-    panic!("{valid_rounds} rounds of 1000 were in time, {delay:?} later");
+    panic!("only {valid_rounds} of 1000 rounds had all surplus responses after {delay:?} in time");
 }
 
 #[test]
-fn a_response_delimited_by_close_needs_a_clean_close() {
+fn a_response_delimited_by_close_is_complete_only_after_a_clean_close() {
     let head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
     let upstream = UpstreamServer::new(move |_, _| Reply::SendAndClose(format!("{head}slip").into_bytes()));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
