--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -2,7 +2,7 @@
 
 use super::decay::DECAY_TIME_US;
 use super::interface::{Settings, Tenant, Timestamp};
-use super::latency::{LatencyEstimator, shortest_baseline_us};
+use super::latency::{LatencyEstimator, lowest_baseline_us};
 use super::requests::QueuedRequest;
 
 /// Minimum burst of a tenant at a node, in tokens of one request each. Most nodes receive a tenant's requests
@@ -101,7 +101,7 @@
             // baseline latency.
             let difference =
                 (waited_us - self.mean_us).clamp(-self.typical_baseline_us, self.typical_baseline_us);
-            self.mean_us += MEAN_WAIT_STEP * (shortest_baseline_us(latencies) / baseline_us) * difference;
+            self.mean_us += MEAN_WAIT_STEP * (lowest_baseline_us(latencies) / baseline_us) * difference;
             self.updated_at = now;
         }
     }
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -54,7 +54,7 @@
         let begin_by = retry_deadline(&self.settings, request);
         let endpoint = &mut self.table.endpoints[endpoint_index];
         endpoint.in_flight += 1;
-        endpoint.last_sent = self.now;
+        endpoint.last_sent_at = self.now;
         self.table.maintenance.mark_probed(endpoint.info.id);
         request.queued = false;
         request.attempts.push(Attempt::new(endpoint.info, self.now));
--- a/src/balancer/concurrency.rs
+++ b/src/balancer/concurrency.rs
@@ -22,8 +22,8 @@
     pub(super) elapsed_us: f64,
     /// Whether the request is within its tenant's quota.
     pub(super) within_quota: bool,
-    /// Whether requests within quotas are queued.
-    pub(super) queued: bool,
+    /// Whether any request within quota is queued.
+    pub(super) has_queue: bool,
 }
 
 /// Limit of the attempts in flight at an endpoint of mean size, over all nodes together.
@@ -80,7 +80,7 @@
         let latency = sample.latency;
         let factor = match (sample.elapsed_us > latency.objective_us, latency.is_slowed_down()) {
             (true, true) => LIMIT_DECREASE_FACTOR,
-            (false, false) if sample.queued => LIMIT_GROWTH_FACTOR,
+            (false, false) if sample.has_queue => LIMIT_GROWTH_FACTOR,
             _ => 1.0,
         };
         // Only served requests count as demand. Counting arriving requests, or a baseline latency that is
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -21,7 +21,7 @@
     /// Number of this node's attempts that the endpoint is executing.
     pub(super) in_flight: u32,
     /// When this node last sent an attempt to the endpoint; the start of the clock if it never did.
-    pub(super) last_sent: Timestamp,
+    pub(super) last_sent_at: Timestamp,
     pub(super) outliers: EndpointOutliers,
     pub(super) latency_ratio: LatencyRatio,
 }
@@ -34,7 +34,7 @@
             relative_size: 0.0,
             selection_weight: 0.0,
             in_flight: 0,
-            last_sent: Timestamp::default(),
+            last_sent_at: Timestamp::default(),
             outliers: EndpointOutliers::new(class_count),
             latency_ratio: LatencyRatio(1.0),
         }
@@ -43,7 +43,7 @@
     /// Returns the latency ratio; 1 after [`DECAY_TIME_US`] without attempts, so that a slow endpoint is
     /// tried again.
     pub(super) fn latency_ratio_at(&self, now: Timestamp) -> f64 {
-        if now.micros_since(self.last_sent) < DECAY_TIME_US { self.latency_ratio.0 } else { 1.0 }
+        if now.micros_since(self.last_sent_at) < DECAY_TIME_US { self.latency_ratio.0 } else { 1.0 }
     }
 }
 
@@ -139,8 +139,8 @@
         let started_at = self.maintenance.started_at(&self.endpoints[i].info);
         let long_ago = started_at == Timestamp::default();
         let age_us = if long_ago { u64::MAX as f64 } else { now.micros_since(started_at) };
-        let warmed_up = (age_us / whole_micros(settings.slow_start_window).max(1) as f64).min(1.0);
-        settings.slow_start_from + (1.0 - settings.slow_start_from) * warmed_up
+        let progress = (age_us / whole_micros(settings.slow_start_window).max(1) as f64).min(1.0);
+        settings.slow_start_from + (1.0 - settings.slow_start_from) * progress
     }
 
     /// Counts a failure at an endpoint, updates the baseline of its peers, which are the ready endpoints by
--- a/src/balancer/feedback.rs
+++ b/src/balancer/feedback.rs
@@ -18,15 +18,17 @@
     pub(super) fn record_outcome(
         &mut self,
         entry: &QueuedRequest,
-        end: Attempt,
+        attempt: Attempt,
         outcome: Outcome,
         elapsed: Duration,
     ) {
-        let Ok(i) = self.table.find(end.endpoint.id) else { return };
-        self.table.endpoints[i].in_flight -= u32::from(end.executing);
+        let Ok(i) = self.table.find(attempt.endpoint.id) else { return };
+        self.table.endpoints[i].in_flight -= u32::from(attempt.executing);
         let (served, elapsed_us) = (outcome == Outcome::Served, as_micros_f64(elapsed));
         let sent_at = self.now - elapsed;
-        if served && !end.executing || self.table.maintenance.was_sent_before_exit(end.endpoint.id, sent_at) {
+        if served && !attempt.executing
+            || self.table.maintenance.was_sent_before_exit(attempt.endpoint.id, sent_at)
+        {
             return;
         }
         if !outcome.not_executed() {
@@ -46,8 +48,8 @@
         let latency = &mut self.latencies[entry.class];
         self.table.endpoints[endpoint_index].latency_ratio.record(elapsed_us, latency.median_us);
         latency.record(elapsed_us);
-        let queued = self.queues.iter().flatten().any(|queued| queued.within_quota);
-        let sample = LimitSample { latency, elapsed_us, within_quota: entry.within_quota, queued };
+        let has_queue = self.queues.iter().flatten().any(|request| request.within_quota);
+        let sample = LimitSample { latency, elapsed_us, within_quota: entry.within_quota, has_queue };
         self.concurrency.record(self.now, &sample, self.table.ready.len());
     }
 
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -82,7 +82,7 @@
 }
 
 /// Returns the lowest baseline of all classes, in microseconds.
-pub(super) fn shortest_baseline_us(latencies: &[LatencyEstimator]) -> f64 {
+pub(super) fn lowest_baseline_us(latencies: &[LatencyEstimator]) -> f64 {
     latencies.iter().map(|latency| latency.baseline_us).fold(f64::MAX, f64::min)
 }
 
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -26,7 +26,7 @@
 
     /// Puts an endpoint under maintenance, whatever discovery reports.
     pub(super) fn enter_maintenance(&mut self, id: EndpointId) {
-        let in_use = self.table.get_mut(id).is_some_and(|e| e.last_sent > Timestamp::default());
+        let in_use = self.table.get_mut(id).is_some_and(|e| e.last_sent_at > Timestamp::default());
         if self.table.maintenance.enter(id, in_use) {
             self.rebuild_pools();
             self.dispatch();
--- a/tests/balancer/admission.rs
+++ b/tests/balancer/admission.rs
@@ -7,7 +7,7 @@
 use crate::support::*;
 
 #[test]
-fn dispatches_requests_within_quota_before_requests_beyond_it() {
+fn dispatches_requests_within_quota_before_requests_over_quota() {
     let mut limited = settings();
     limited.tenants = vec![Tenant { quota_per_second: 20.0, service_share: 1.0 }];
     let mut node = TestNode::new(limited, endpoints(1..5));
--- a/tests/balancer/maintenance.rs
+++ b/tests/balancer/maintenance.rs
@@ -5,7 +5,7 @@
 use crate::support::*;
 
 #[test]
-fn an_endpoint_under_maintenance_is_not_ready_whatever_discovery_reports() {
+fn an_endpoint_in_maintenance_is_not_ready_whatever_discovery_reports() {
     let mut node = TestNode::new(settings(), endpoints(1..3));
     endpoints_reached(&mut node, &[None, Some(0)]);
     node.handle(Event::EnterMaintenance(1));
--- a/tests/balancer/random_scenario.rs
+++ b/tests/balancer/random_scenario.rs
@@ -34,7 +34,7 @@
     rng: fastrand::Rng,
     /// The endpoint list that the node was last notified of.
     pub listed: BTreeMap<EndpointId, EndpointInfo>,
-    pub under_maintenance: BTreeSet<EndpointId>,
+    pub in_maintenance: BTreeSet<EndpointId>,
     pub requests: BTreeMap<RequestId, RequestRecord>,
     pub timers: BTreeSet<(Timestamp, TimerToken)>,
     /// Number of final answers that the node gave without a response.
@@ -126,7 +126,7 @@
             node: TestNode { balancer, now: START + 50 * S, last_request: 0 },
             rng,
             listed: list.iter().map(|endpoint| (endpoint.id, *endpoint)).collect(),
-            under_maintenance: BTreeSet::new(),
+            in_maintenance: BTreeSet::new(),
             requests: BTreeMap::new(),
             timers: BTreeSet::new(),
             final_answers: 0,
@@ -166,14 +166,14 @@
         let id = self.node.last_request;
         let (class, remaining) = (self.rng.usize(..4), random_duration(&mut self.rng, 20 * MS..S));
         let tenant = self.rng.bool().then(|| self.rng.u32(..6));
-        let sent = RequestRecord {
+        let record = RequestRecord {
             class,
             deadline: self.node.now + remaining,
             finished: false,
             attempts: Vec::new(),
             body_forwarded: false,
         };
-        self.requests.insert(id, sent);
+        self.requests.insert(id, record);
         let affinity_key = Some(id % 7);
         let request = Request { id, class, remaining, expected_work: None, affinity_key, tenant };
         self.handle(Event::RequestArrived(request));
@@ -200,15 +200,15 @@
             Outcome::NotSent,
         ];
         let outcome = *self.rng.choice(&outcomes).unwrap();
-        let sent = self.requests.get_mut(&request).unwrap();
-        sent.attempts[n].outcome = Some(outcome);
-        sent.finished |= outcome == Outcome::Served;
+        let record = self.requests.get_mut(&request).unwrap();
+        record.attempts[n].outcome = Some(outcome);
+        record.finished |= outcome == Outcome::Served;
         let result = AttemptResult {
             request,
             attempt: n as AttemptNumber,
             outcome,
-            elapsed: self.node.now.saturating_duration_since(sent.attempts[n].sent_at),
-            request_finished: sent.finished,
+            elapsed: self.node.now.saturating_duration_since(record.attempts[n].sent_at),
+            request_finished: record.finished,
         };
         self.handle(Event::AttemptEnded(result));
         true
@@ -269,10 +269,10 @@
     fn change_maintenance(&mut self) {
         let id = self.rng.u64(1..18);
         if self.rng.bool() {
-            self.under_maintenance.insert(id);
+            self.in_maintenance.insert(id);
             self.handle(Event::EnterMaintenance(id));
         } else {
-            self.under_maintenance.remove(&id);
+            self.in_maintenance.remove(&id);
             self.handle(Event::ExitMaintenance(id, self.node.now));
         }
     }
--- a/tests/balancer/rules.rs
+++ b/tests/balancer/rules.rs
@@ -94,14 +94,15 @@
         let SlowStartRun { settings: s, started, ended, sent } = run_slow_start(seed, maintenance);
         let micros = |duration: Duration| duration.as_micros() as f64;
         let all: usize = sent.values().map(Vec::len).sum();
-        let warm_rate = all as f64 / micros(ended.saturating_duration_since(started)) / 10.0;
-        let warming_up = &sent[&3];
-        assert!(!warming_up.is_empty(), "an endpoint in slow start got no attempts");
-        for &from in warming_up {
-            let within = warming_up.iter().filter(|at| (from..from + WINDOW).contains(at)).count() as f64;
+        let mean_rate = all as f64 / micros(ended.saturating_duration_since(started)) / 10.0;
+        let slow_start_sends = &sent[&3];
+        assert!(!slow_start_sends.is_empty(), "an endpoint in slow start got no attempts");
+        for &from in slow_start_sends {
+            let within =
+                slow_start_sends.iter().filter(|at| (from..from + WINDOW).contains(at)).count() as f64;
             let age = micros(from.saturating_duration_since(started)) / micros(s.slow_start_window);
             let capacity =
-                warm_rate * micros(WINDOW) * (s.slow_start_from + (1.0 - s.slow_start_from) * age.min(1.0));
+                mean_rate * micros(WINDOW) * (s.slow_start_from + (1.0 - s.slow_start_from) * age.min(1.0));
             assert!(
                 within <= OVERLOAD_MULTIPLE * capacity + 2.0,
                 "seed {seed}: {within} attempts at a capacity of {capacity}"
