--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -50,7 +50,8 @@
 pub(super) struct QueueWaitEstimator {
     /// Mean wait as of the last attempt that was counted, in microseconds.
     mean_us: f64,
-    /// Mean baseline latency of the classes, weighted by how often each is answered, in microseconds.
+    /// Mean baseline latency of the classes, weighted by how many attempts of each were counted, in
+    /// microseconds.
     typical_baseline_us: f64,
     updated_at: Timestamp,
 }
@@ -72,17 +73,19 @@
     /// counts as its wait.
     ///
     /// ```text
-    /// wait      = min(elapsed - baseline, MAX_WAIT_SLACK_MULTIPLE * max(slack, 0))
-    /// mean wait = mean wait + MEAN_WAIT_STEP * (lowest baseline of all / baseline) * difference
+    /// wait             = min(elapsed - baseline, MAX_WAIT_SLACK_MULTIPLE * max(slack, 0))
+    /// typical baseline = typical baseline + TYPICAL_BASELINE_STEP * (baseline - typical baseline)
+    /// mean_us          = mean_us + MEAN_WAIT_STEP * (lowest baseline of all / baseline) * difference
     ///
-    /// baseline     baseline latency of the attempt's class
-    /// slack        latency objective of the class minus its baseline latency
-    /// difference   wait - mean wait, limited to the range of ± the typical baseline latency
+    /// elapsed      time that the attempt took, in microseconds
+    /// baseline     baseline latency of the attempt's class, in microseconds
+    /// slack        latency objective of the class minus its baseline latency, in microseconds
+    /// difference   wait - mean_us, limited to the range of ± the typical baseline
     /// ```
     ///
-    /// The latency of long requests varies by more than their wait, so a class counts by `lowest baseline of
-    /// all / its baseline`. An attempt that was not served has waited at least this long, and is counted only
-    /// if its wait is above the mean.
+    /// The latency of long requests varies by more than their wait, so an attempt is weighted by `lowest
+    /// baseline of all / baseline`. An attempt that was not served has waited at least this long, and is
+    /// counted only if its wait is above `mean_us`.
     pub(super) fn record(
         &mut self,
         now: Timestamp,
@@ -112,7 +115,7 @@
 /// Further mean wait over which that shedding grows to all of these requests, as a fraction of the same
 /// slack.
 const SHED_RANGE_SLACK_FRACTION: f64 = 0.4;
-/// Mean wait at which shedding of requests beyond quota starts, as a fraction of the smallest slack of all
+/// Mean wait at which shedding of over-quota requests starts, as a fraction of the smallest slack of all
 /// classes.
 const OVER_QUOTA_SHED_START_SLACK_FRACTION: f64 = 0.1;
 /// Further mean wait over which that shedding grows to all of these requests, as a fraction of the same
@@ -148,12 +151,12 @@
     /// probability = 1 - (1 - visibility) * clamp((wait - from) / range, 0, 1)
     ///
     /// visibility   local load visibility of the concurrency limit
-    /// wait         mean wait
+    /// wait         mean wait, decreased while no attempt ends
     /// from         within quota: max(SHED_START_SLACK_FRACTION * slack,
     ///                                UNLOADED_WAIT_FRACTION * typical baseline latency)
-    ///              beyond quota: OVER_QUOTA_SHED_START_SLACK_FRACTION * smallest slack of all classes
+    ///              over quota:   OVER_QUOTA_SHED_START_SLACK_FRACTION * smallest slack of all classes
     /// range        within quota: SHED_RANGE_SLACK_FRACTION * slack
-    ///              beyond quota: OVER_QUOTA_SHED_RANGE_SLACK_FRACTION * smallest slack of all classes
+    ///              over quota:   OVER_QUOTA_SHED_RANGE_SLACK_FRACTION * smallest slack of all classes
     /// slack        latency objective of the request's class minus its baseline latency
     /// ```
     ///
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -85,7 +85,8 @@
         self.dispatch();
     }
 
-    /// Queues a request for a retry if it has no attempt in flight. Returns false if it can't be sent again.
+    /// Queues a request for a retry unless it is queued or has an attempt in flight. Returns false if it may
+    /// not be sent to any member of its pool or its answer deadline has passed.
     fn requeue(&mut self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         if request.is_in_flight() || request.queued {
@@ -120,7 +121,7 @@
     pub(super) fn reject_or_fail(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let (entry, not_executed) = (&request.entry, request.not_executed());
-        // An immediate retry by the client would meet the same overload, and its response would be late.
+        // An immediate retry by the client would add to the same overload, and its response would be late.
         let delay_retry = !entry.within_quota || not_executed && self.would_be_late(entry);
         let retry_after = if delay_retry { self.settings.max_retry_after } else { Duration::ZERO };
         let may_reject = not_executed || self.settings.classes[entry.class].idempotency.client_may_retry();
@@ -129,7 +130,8 @@
         self.finish(id);
     }
 
-    /// Marks a request as finished, and removes it once none of its attempts is in flight.
+    /// Marks a request as finished, removes it from its queue and cancels its attempts in flight. The
+    /// balancer tracks it until none of its attempts is in flight.
     pub(super) fn finish(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.finished = true;
--- a/src/balancer/concurrency.rs
+++ b/src/balancer/concurrency.rs
@@ -57,7 +57,7 @@
         (2.0 * self.limit / self.node_count).min(1.0)
     }
 
-    /// Whether this node's own counts show all of the load.
+    /// Returns whether this node's own counts show all of the load.
     pub(super) fn is_load_fully_visible(&self) -> bool {
         self.local_load_visibility() == 1.0
     }
--- a/src/balancer/decay.rs
+++ b/src/balancer/decay.rs
@@ -29,7 +29,7 @@
         DecayingCounter { value, updated_at: now, started_at: now }
     }
 
-    /// Returns the decayed count at this instant.
+    /// Returns the decayed count at `now`.
     pub(super) fn value_at(&self, now: Timestamp) -> f64 {
         self.value * (-now.micros_since(self.updated_at) / DECAY_TIME_US).exp()
     }
@@ -47,7 +47,7 @@
     ///
     /// r     rate, per microsecond
     /// T     DECAY_TIME_US
-    /// age   time since the first amount was added, in microseconds
+    /// age   time since the first amount was added, in microseconds; at least MIN_RATE_WINDOW_US
     /// ```
     ///
     /// The last factor corrects for counters that are younger than `T` and have not reached `r * T` yet.
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -13,10 +13,10 @@
 pub(super) struct Endpoint {
     /// Entry of the endpoint in the last snapshot or delta that contained it.
     pub(super) info: EndpointInfo,
-    /// Size relative to the mean size of the ready endpoints.
+    /// Size relative to the mean size of the ready endpoints; 1 if its size is unknown.
     pub(super) relative_size: f64,
-    /// The part of the relative size that lies in this node's subset. Outside of the subset, a small fraction
-    /// of the relative size that decreases with the distance to the subset.
+    /// The share of the relative size that lies in this node's subset. Outside of the subset, a small
+    /// fraction of the relative size that decreases with the distance from the subset.
     pub(super) selection_weight: f64,
     /// Number of this node's attempts that the endpoint is executing.
     pub(super) in_flight: u32,
@@ -52,7 +52,7 @@
 pub(super) struct EndpointTable {
     /// Sorted by id.
     pub(super) endpoints: Vec<Endpoint>,
-    /// Indices of the endpoints that take new requests.
+    /// Indices of the endpoints that get new requests: those listed as ready that are not in maintenance.
     pub(super) ready: Vec<usize>,
     pub(super) maintenance: Maintenance,
     /// Largest weight seen for each machine type, which is the weight of an idle machine.
@@ -118,7 +118,7 @@
 
     /// Returns the size of an endpoint according to the endpoint list: its weight, or the largest weight seen
     /// for its machine type if weights depend on load. Load-dependent weights are outdated and the same at
-    /// all nodes: selecting by them, all nodes would overload the endpoints that were idle some time ago.
+    /// all nodes: if all nodes selected by them, they would overload the endpoints that had been idle before.
     fn listed_size(&self, i: usize, settings: &Settings) -> f64 {
         let info = &self.endpoints[i].info;
         match self.machine_type_sizes.get(&info.machine_type) {
@@ -133,7 +133,8 @@
     /// ```text
     /// slow start factor = slow_start_from + (1 - slow_start_from) * min(age / slow_start_window, 1)
     ///
-    /// age   time since the endpoint's start, in microseconds
+    /// age                 time since the endpoint's start, in microseconds; infinite if that is unknown
+    /// slow_start_window   duration of the slow start, in microseconds
     /// ```
     pub(super) fn slow_start_factor(&self, i: usize, now: Timestamp, settings: &Settings) -> f64 {
         let started_at = self.maintenance.started_at(&self.endpoints[i].info);
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -32,7 +32,7 @@
 }
 
 /// Returns the time at which a request should be hedged: as late as the hedge can still meet the latency
-/// objective, but not before the response to the last attempt is overdue. Returns none if no attempt is in
+/// objective, but not before the response to the last attempt is overdue. Returns `None` if no attempt is in
 /// flight.
 ///
 /// ```text
--- a/src/balancer/interface/action.rs
+++ b/src/balancer/interface/action.rs
@@ -14,9 +14,9 @@
         request: RequestId,
         /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// Deadline for starting the attempt, if there is one. Its connection may take long to open, and by
-        /// then endpoints may have forgotten that they executed the request. An attempt that misses the
-        /// deadline ends as [`Outcome::NotSent`](super::Outcome::NotSent).
+        /// Deadline for starting the attempt, if there is one. Opening a connection may take long, and after
+        /// the deadline endpoints may have forgotten that they executed the request. An attempt that misses
+        /// the deadline ends as [`Outcome::NotSent`](super::Outcome::NotSent).
         begin_by: Option<Timestamp>,
     },
     /// Gives the final answer that the request is rejected. The client may safely retry it.
--- a/src/balancer/interface/event.rs
+++ b/src/balancer/interface/event.rs
@@ -24,8 +24,8 @@
     EndpointDelta(Vec<EndpointInfo>),
     /// A poll of discovery failed, or the subscription ended.
     DiscoveryFailed,
-    /// An operator has put an endpoint into maintenance. It is not ready until it returns, whatever the
-    /// endpoint list says.
+    /// An operator has put an endpoint into maintenance. It is not ready until it exits maintenance, whatever
+    /// the endpoint list says.
     EnterMaintenance(EndpointId),
     /// An operator has ended the maintenance of an endpoint at this time, which counts as its start.
     ExitMaintenance(EndpointId, Timestamp),
@@ -33,13 +33,13 @@
     RequestArrived(Request),
     /// The client has disconnected; the request needs no answer any more.
     ClientDisconnected(RequestId),
-    /// A request's body is being forwarded to an endpoint as it arrives, without a copy, so the request can't
-    /// be sent again. The time of the request runs from its last byte, so the balancer sets no deadline: the
-    /// request ends with its attempt.
+    /// A request's body is being streamed to an endpoint and no copy is kept, so the request can't be sent
+    /// again. The time until the client stops waiting starts with the last byte of the body, so the balancer
+    /// sets no deadline: the request ends with its attempt.
     BodyForwarded(RequestId),
-    /// The last byte of a forwarded body has been received.
+    /// The last byte of a streamed body has been received.
     BodyCompleted(RequestId),
-    /// The response to this attempt is being forwarded to the client, so this attempt gives the final answer.
+    /// The response to this attempt is being streamed to the client, so this attempt gives the final answer.
     ResponseStarted(RequestId, AttemptNumber),
     /// An attempt has ended. The node passes this event once for each attempt.
     AttemptEnded(AttemptResult),
@@ -47,12 +47,12 @@
     TimerFired(TimerToken),
 }
 
-/// Whether an endpoint takes requests, according to the endpoint list.
+/// State of an endpoint according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It finishes its requests and gets no new ones.
+    /// It completes the requests that it has, and gets no new ones.
     Draining,
     /// It no longer exists.
     #[default]
@@ -64,7 +64,7 @@
 pub struct EndpointInfo {
     /// Id of the endpoint.
     pub id: EndpointId,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: EndpointState,
     /// Time of its last start. The default, the start of the clock, means that it started long ago.
     pub started_at: Timestamp,
--- a/src/balancer/interface/settings.rs
+++ b/src/balancer/interface/settings.rs
@@ -102,7 +102,8 @@
     pub hedging: bool,
     /// Whether requests cost an endpoint less if it has recently served related ones, with the same key.
     pub key_affinity: bool,
-    /// Whether the weight of an endpoint falls while it has requests, and so depends on load as well as size.
+    /// Whether the weight of an endpoint decreases while it has requests, and so depends on load as well as
+    /// size.
     pub load_dependent_weights: bool,
     /// How the endpoint list reaches the node.
     pub discovery: DiscoveryMode,
--- a/src/balancer/interface/time.rs
+++ b/src/balancer/interface/time.rs
@@ -1,7 +1,8 @@
 //! Timestamps of the node's clock, and conversions between durations and microseconds.
 //!
 //! The balancer reads no clock: the node passes the current time with each event. Estimators compute in
-//! microseconds as `f64`. All other code uses [`Timestamp`] and [`Duration`], which the compiler keeps apart.
+//! microseconds as `f64`. All other code uses [`Timestamp`] and [`Duration`], so that the compiler rejects a
+//! duration where a point in time is expected.
 
 use std::ops::{Add, AddAssign, Sub};
 use std::time::Duration;
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -2,8 +2,8 @@
 
 use super::interface::{RequestClass, as_micros_f64};
 
-/// Fraction by which one response moves the median once many responses have been recorded, and fraction of
-/// the difference by which the baseline then follows a lower median.
+/// Minimum fraction by which one response moves the median, and minimum fraction of the difference by which
+/// the baseline follows a lower median.
 const MEDIAN_STEP: f64 = 0.02;
 /// Factor by which the baseline grows with each response while the median is not below it, so that lower
 /// latencies of the past are slowly forgotten.
@@ -20,11 +20,12 @@
 
 /// Estimates of how long the responses of one class take.
 pub(super) struct LatencyEstimator {
-    /// Latency objective of the class in microseconds, without the part that grows with the expected work.
+    /// Latency objective of the class in microseconds, without the share that grows with the expected work.
     pub(super) objective_us: f64,
     /// Recent median in microseconds. Each response above or below it raises or lowers it by the same ratio.
     pub(super) median_us: f64,
-    /// Baseline latency in microseconds: the lowest median so far, which is the latency without load.
+    /// Baseline latency in microseconds: an estimate of the latency without load, which follows the lowest
+    /// median.
     pub(super) baseline_us: f64,
     /// Number of responses recorded, plus 1 for the initial guess.
     samples: f64,
@@ -70,12 +71,13 @@
         self.objective_us - self.baseline_us
     }
 
-    /// Whether responses take significantly longer than without load.
+    /// Returns whether responses take longer than without load: the median exceeds `LATENCY_TOLERANCE` times
+    /// the baseline.
     pub(super) fn is_slowed_down(&self) -> bool {
         self.median_us > self.baseline_us * LATENCY_TOLERANCE
     }
 
-    /// Whether the baseline is still a guess because too few responses have been recorded.
+    /// Returns whether the baseline is still a guess because too few responses have been recorded.
     pub(super) fn is_baseline_guess(&self) -> bool {
         self.samples <= MAX_GUESS_SAMPLES
     }
--- a/src/balancer/maintenance.rs
+++ b/src/balancer/maintenance.rs
@@ -5,7 +5,7 @@
 
 use super::interface::{EndpointId, EndpointInfo, Timestamp};
 
-/// The end of an endpoint's maintenance.
+/// An endpoint's exit from maintenance.
 struct MaintenanceExit {
     exited_at: Timestamp,
     /// Whether the endpoint was in use before its maintenance and has not been sent an attempt since. With
@@ -16,16 +16,16 @@
 /// Maintenance state of endpoints as set by operators.
 #[derive(Default)]
 pub(super) struct Maintenance {
-    /// Endpoints under maintenance.
+    /// Endpoints in maintenance.
     pub(super) in_maintenance: BTreeSet<EndpointId>,
-    /// Endpoints under maintenance that were in use when it started.
+    /// Endpoints in maintenance that were in use when it started.
     were_in_use: BTreeSet<EndpointId>,
-    /// The last end of maintenance by endpoint.
+    /// The last exit from maintenance by endpoint.
     exits: BTreeMap<EndpointId, MaintenanceExit>,
 }
 
 impl Maintenance {
-    /// Puts an endpoint under maintenance; returns `false` if it already was.
+    /// Puts an endpoint into maintenance; returns `false` if it already was in maintenance.
     pub(super) fn enter(&mut self, id: EndpointId, in_use: bool) -> bool {
         if !self.in_maintenance.insert(id) {
             return false;
@@ -36,8 +36,8 @@
         true
     }
 
-    /// Ends the maintenance of an endpoint as of `at`. Removes records of maintenance that ended longer ago
-    /// than the slow start, except for endpoints with a pending probe.
+    /// Ends the maintenance of an endpoint as of `at`. Forgets exits from maintenance that are longer ago
+    /// than the slow start takes, except for endpoints with a pending probe.
     pub(super) fn exit(&mut self, id: EndpointId, at: Timestamp, now: Timestamp, slow_start: Duration) {
         self.in_maintenance.remove(&id);
         self.exits.retain(|_, exit| exit.probe_pending || exit.exited_at + slow_start > now);
@@ -51,7 +51,7 @@
         self.exits.get(&info.id).map_or(info.started_at, |exit| exit.exited_at.max(info.started_at))
     }
 
-    /// Whether an endpoint still has to be sent one request soon, to show that it is in use again.
+    /// Returns whether an endpoint still has to be sent one request soon, to show that it is in use again.
     pub(super) fn probe_pending(&self, id: EndpointId) -> bool {
         self.exits.get(&id).is_some_and(|exit| exit.probe_pending)
     }
@@ -61,8 +61,8 @@
         self.exits.get_mut(&id).into_iter().for_each(|exit| exit.probe_pending = false);
     }
 
-    /// Whether an attempt sent at this time only reflects the state of the endpoint before the end of its
-    /// maintenance.
+    /// Returns whether an attempt sent at this time only shows the state of the endpoint before it last
+    /// exited maintenance.
     pub(super) fn was_sent_before_exit(&self, id: EndpointId, sent_at: Timestamp) -> bool {
         self.exits.get(&id).is_some_and(|exit| sent_at < exit.exited_at)
     }
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -24,7 +24,7 @@
         self.dispatch();
     }
 
-    /// Puts an endpoint under maintenance, whatever discovery reports.
+    /// Puts an endpoint into maintenance, whatever discovery reports.
     pub(super) fn enter_maintenance(&mut self, id: EndpointId) {
         let in_use = self.table.get_mut(id).is_some_and(|e| e.last_sent_at > Timestamp::default());
         if self.table.maintenance.enter(id, in_use) {
@@ -34,7 +34,8 @@
     }
 
     /// Ends the maintenance of an endpoint as of `at`, which lies in the past if another process of the node
-    /// was notified. The endpoint goes through slow start, and what was learned about it is reset.
+    /// received the operator's command. The endpoint goes through slow start, and what was learned about it
+    /// is reset.
     pub(super) fn exit_maintenance(&mut self, id: EndpointId, at: Timestamp) {
         self.table.maintenance.exit(id, at, self.now, self.settings.slow_start_window);
         if let Ok(i) = self.table.find(id) {
@@ -51,15 +52,16 @@
         }
     }
 
-    /// Schedules another poll with exponential backoff. The backoff is at most half of the longest time that
-    /// the settings allow without a poll. It is drawn at random from the upper half of its range, so that
-    /// nodes whose polls failed at the same time do not poll again at the same time.
+    /// Schedules another poll with exponential backoff, unless discovery pushes the endpoint list. The
+    /// backoff is at most half of the maximum time between polls. It is drawn at random from the upper half
+    /// of its range, so that nodes whose polls failed at the same time do not poll again at the same time.
     ///
     /// ```text
     /// limit   = min(POLL_BACKOFF * 2 ^ min(failed polls, MAX_BACKOFF_DOUBLINGS), interval / 2)
     /// backoff = random in [limit / 2, limit)
     ///
-    /// interval   longest time without a poll
+    /// failed polls   number of polls that failed before this one since the last endpoint list
+    /// interval       maximum time between polls, from the settings
     /// ```
     pub(super) fn retry_discovery(&mut self) {
         let DiscoveryMode::Poll { interval } = self.settings.discovery else { return };
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -95,7 +95,8 @@
 
     /// Handles an event that happens at `now`, and appends the resulting actions in order.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
-        // `now` never decreases, even if the node's clock runs backwards: differences would wrap around.
+        // `now` never decreases, even if the node's clock runs backwards. Otherwise a token bucket, for
+        // example, would refill twice for the same time.
         self.now = self.now.max(now);
         match event {
             Event::EndpointSnapshot(list) => self.update_endpoints(list, true),
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -91,12 +91,12 @@
         self.any_class.excess_failures(now) + self.class_errors[class].excess_failures(now)
     }
 
-    /// Whether the endpoint is ejected for all classes.
+    /// Returns whether the endpoint is ejected for all classes.
     pub(super) fn is_ejected(&self, now: Timestamp) -> bool {
         self.any_class.ejected_until > now
     }
 
-    /// Whether the endpoint is ejected for this class because of its errors.
+    /// Returns whether the endpoint is ejected for this class because of its errors.
     pub(super) fn is_ejected_for_class(&self, class: usize, now: Timestamp) -> bool {
         self.class_errors[class].ejected_until > now
     }
--- a/src/balancer/queue.rs
+++ b/src/balancer/queue.rs
@@ -45,7 +45,7 @@
 
     /// Returns the position of the queued request with the highest value density. Ties go to the earliest
     /// latency objective. Classes with `MAX_BLOCKED_PER_CLASS` blocked requests are skipped, so that a few
-    /// requests that may only go to full endpoints don't hold up other classes.
+    /// requests that may only be sent to full endpoints don't hold up other classes.
     fn find_most_valuable(&self, pool: usize, blocked: &[QueuedRequest]) -> Option<usize> {
         let blocked_of = |class: usize| blocked.iter().filter(|request| request.class == class).count();
         let queued = self.queues[pool].iter().enumerate();
@@ -70,8 +70,9 @@
     /// Returns whether a request of the pool `from` may spill over to another pool: that pool's own queue has
     /// to be empty and its utilization below `SPARE_CAPACITY_MAX_UTILIZATION`.
     ///
-    /// If nodes see little of the load, the pool looks free to each of them. In that case it accepts only a
-    /// fraction of the requests, `size of the pool / size of from`, chosen by a hash of request and pool.
+    /// If nodes don't see all of the load, the pool may look free to each of them. In that case it accepts
+    /// only a fraction of the requests, `size of the pool / size of from`, chosen by a hash of request and
+    /// pool.
     fn accepts_spillover(&self, pool: usize, from: usize, request: &QueuedRequest) -> bool {
         let size = self.pools[pool].members.len() as f64;
         let is_within_share = || unit_hash(request.id, pool as u64) * self.members(from).len() as f64 <= size;
--- a/src/balancer/reevaluation.rs
+++ b/src/balancer/reevaluation.rs
@@ -50,8 +50,8 @@
     fn should_give_up(&self, request: &ActiveRequest) -> bool {
         let entry = &request.entry;
         let late_earns_nothing = !entry.within_quota || self.settings.classes[entry.class].late_weight == 0.0;
-        // A rejection late in the request's time costs the client more than a small chance of being sent is
-        // worth.
+        // Late in the request's time, the chance that it is still sent is small, and not worth the cost of an
+        // even later rejection to the client.
         let waited_too_long = self.now >= request.queue_until && request.not_executed();
         let too_late = self.would_be_late(entry) && (late_earns_nothing || waited_too_long);
         let key_expired =
@@ -59,8 +59,8 @@
         self.table.ready.is_empty() || too_late || key_expired || waited_too_long && !entry.within_quota
     }
 
-    /// Returns whether a request should be hedged: its last attempt is overdue, as if the endpoint had
-    /// paused, and its pool has spare capacity for a hedge.
+    /// Returns whether a request should be hedged: it is within quota, its last attempt is overdue, as if the
+    /// endpoint had paused, no request is queued for its pool, and the pool has capacity for a hedge.
     fn needs_hedge(&self, request: &ActiveRequest) -> bool {
         let max_utilization = if self.hedges.are_effective() { 1.0 } else { SPARE_CAPACITY_MAX_UTILIZATION };
         let latency = &self.latencies[request.entry.class];
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -61,7 +61,7 @@
     pub(super) attempts: Vec<Attempt>,
     /// Whether it is in the queue of its pool.
     pub(super) queued: bool,
-    /// Whether its body is being forwarded without a copy, so that it can't be sent again.
+    /// Whether its body is being streamed and no copy is kept, so that it can't be sent again.
     pub(super) body_forwarded: bool,
     /// Whether it needs no answer any more.
     pub(super) finished: bool,
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -5,8 +5,8 @@
 use super::interface::{EndpointInfo, Idempotency, IdempotencyScope, RequestClass, Settings, Timestamp};
 use super::requests::{ActiveRequest, AttemptState};
 
-/// Maximum time that a retry takes to arrive at an endpoint. A retry has arrived with its last byte, which on
-/// a new connection takes several round trips and processing time at the endpoint.
+/// Maximum time that a retry takes to arrive at an endpoint. It has arrived when the endpoint has its last
+/// byte, which on a new connection takes several round trips and processing time at the endpoint.
 const MAX_TRANSIT_TIME: Duration = Duration::from_millis(20);
 
 /// Returns whether a request may be sent to this endpoint now.
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -16,8 +16,9 @@
         if let Some(probed) = eligible.iter().copied().find(|i| self.probe_pending(*i)) {
             return Some(probed);
         }
-        // With key affinity, endpoints serve keys better that they have served recently: the key instead of a
-        // random number seeds the sampling, so that requests with the same key get the same candidates.
+        // With key affinity, a request costs an endpoint less if it has recently served one with the same
+        // key. The sampling is then seeded by the key instead of a random number, so that requests with the
+        // same key get the same candidates.
         let seed = request.affinity_key.filter(|_| self.settings.key_affinity).unwrap_or(random);
         let candidates = self.sample_two(eligible, seed).into_iter();
         let loads = candidates.map(|i| (self.load(i, request.entry.class), i));
@@ -25,8 +26,8 @@
     }
 
     /// Returns the endpoints of a pool that a request may be sent to and that have capacity for it. If all
-    /// members of the pool are ejected for the request's class, the pool counts as empty for the request, and
-    /// all ready endpoints are considered instead.
+    /// members of the pool are ejected for the request's class, all ready endpoints are considered instead.
+    /// If all of these are ejected for the class too, ejections for the class are ignored.
     fn eligible_endpoints(&self, request: &ActiveRequest, pool: usize) -> Vec<usize> {
         let is_class_ejected =
             |i: &usize| self.table.endpoints[*i].outliers.is_ejected_for_class(request.entry.class, self.now);
@@ -51,13 +52,13 @@
         eligible
     }
 
-    /// Whether a request may be sent to an endpoint and the endpoint has capacity for it.
+    /// Returns whether a request may be sent to an endpoint and the endpoint has capacity for it.
     fn is_eligible(&self, i: usize, request: &ActiveRequest) -> bool {
         let endpoint = &self.table.endpoints[i];
         let id = endpoint.info.id;
-        // During slow start, an endpoint is eligible for only a fraction of the requests of all nodes, half
-        // of the load at which it fails. One attempt from each node, or all requests that spill over from its
-        // neighbours on the ring, would overload it.
+        // During slow start, an endpoint is eligible for only a fraction of the requests of all nodes: half
+        // of the load at which it fails, but at least its current capacity. One attempt from each node, or
+        // all requests that spill over from its neighbours on the ring, would overload it.
         let slow_start = self.table.slow_start_factor(i, self.now, &self.settings);
         let eligible_fraction = slow_start * (self.settings.overload_multiple / 2.0).max(1.0);
         (endpoint.in_flight == 0 || f64::from(endpoint.in_flight) < self.capacity(i).ceil())
@@ -68,9 +69,9 @@
             && may_send(&self.settings, request, &endpoint.info, self.now)
     }
 
-    /// Samples two endpoints, each with a probability in proportion to its capacity. Most nodes have no
-    /// attempt in flight at either endpoint, and the comparison of loads alone would send nearly all requests
-    /// to the largest endpoint.
+    /// Samples two endpoints, with a higher probability for endpoints with a larger selection weight and a
+    /// lower latency ratio. Most nodes have no attempt in flight at either endpoint, and the comparison of
+    /// loads alone would send nearly all requests to the largest endpoint.
     ///
     /// The sample is taken by weighted rendezvous hashing: it consists of the two endpoints with the lowest
     /// scores.
@@ -95,7 +96,7 @@
         ranked.into_iter().take(2).map(|(_, i)| i).collect()
     }
 
-    /// Whether an endpoint has not been sent the one request that it gets soon after maintenance.
+    /// Returns whether an endpoint that has exited maintenance still has to be sent one request.
     fn probe_pending(&self, i: usize) -> bool {
         self.table.maintenance.probe_pending(self.table.endpoints[i].info.id)
     }
@@ -124,10 +125,14 @@
         share * slow_start / endpoint.latency_ratio_at(self.now)
     }
 
-    /// Whether less than this fraction of a pool's capacity is in use. Some attempts are always allowed:
+    /// Returns whether less than this fraction of a pool's capacity is in use. Some attempts are always
+    /// allowed:
     ///
     /// ```text
     /// always allowed = max(subset size * (1 - local load visibility), 1)
+    ///
+    /// subset size             number of endpoints in this node's subset of the pool
+    /// local load visibility   how much of the load this node's own counts show, from 0 to 1
     /// ```
     ///
     /// A node whose own counts show little of the load may thus have one attempt in flight for each endpoint
--- a/src/balancer/streaming.rs
+++ b/src/balancer/streaming.rs
@@ -1,4 +1,4 @@
-//! Streaming of request and response bodies. An endpoint works on a request from the last byte of the request
+//! Streaming of request and response bodies. An endpoint executes a request from the last byte of the request
 //! to the first byte of the response, and the attempt counts as load only for that time.
 
 use super::Balancer;
@@ -6,9 +6,9 @@
 use super::requests::ActiveRequest;
 
 impl Balancer {
-    /// Records that a request's body is being forwarded and can't be sent again. The endpoint is idle until
-    /// the last byte, so the attempt does not count as load. The request loses its answer deadline, and ends
-    /// with its attempt.
+    /// Records that a request's body is being streamed, so that the request can't be sent again. The endpoint
+    /// does not execute the attempt before the last byte, so the attempt does not count as load. The request
+    /// loses its answer deadline, and ends with its attempt.
     pub(super) fn on_body_forwarded(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.body_forwarded = true;
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Records that the last byte of a forwarded body was received: the endpoint starts to execute the
+    /// Records that the last byte of a streamed body was received: the endpoint starts to execute the
     /// attempt.
     pub(super) fn on_body_completed(&mut self, id: RequestId) {
         let request = self.requests.get_mut(&id);
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Records that a response has begun: the endpoint has done its work. The latency is taken now, since the
-    /// rest depends on how fast the client reads.
+    /// Records that a response has begun: the endpoint has executed the request. The latency is measured now,
+    /// since the rest of the response depends on how fast the client reads.
     pub(super) fn on_response_started(&mut self, id: RequestId, number: AttemptNumber) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.finished = true;
--- a/src/balancer/subsets.rs
+++ b/src/balancer/subsets.rs
@@ -18,7 +18,7 @@
 const LABEL_SALT_COUNT: u64 = 64;
 /// Minimum number of endpoints in a label's pool if there are enough endpoints.
 const MIN_POOL_SIZE: usize = 4;
-/// Number of nodes whose subsets contain an endpoint of mean size.
+/// Mean number of nodes whose subsets contain a given point of a pool's ring of endpoints.
 const NODES_PER_ENDPOINT: f64 = 6.0;
 /// Fractional part of the golden ratio. Its multiples are evenly spread over the ring, whatever their number.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -58,9 +58,9 @@
 //!
 //! # Obligations of the node
 //!
-//! The node reports the end of each attempt that an [`Action::Send`] started with one
-//! [`Event::AttemptEnded`]. It forwards the first response to the client at once, which finishes the request.
-//! An attempt times out no later than the client stops waiting.
+//! For each attempt that an [`Action::Send`] started, the node passes one [`Event::AttemptEnded`]. It
+//! forwards the first response to the client at once, which finishes the request. An attempt times out no
+//! later than when the client stops waiting.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/tests/balancer/admission.rs
+++ b/tests/balancer/admission.rs
@@ -30,12 +30,12 @@
     }
     let position = |id| sent.iter().position(|s| *s == id);
     let over_quota = sent.iter().position(|id| (11..=30).contains(id));
-    assert!(position(late).is_some() && over_quota.is_some(), "requests beyond the quota use spare capacity");
+    assert!(position(late).is_some() && over_quota.is_some(), "over-quota requests use spare capacity");
     assert!(position(late) < over_quota, "{sent:?}");
 }
 
-/// Retries of rejected requests beyond the quota would return into the same overload, so they get a
-/// Retry-After. Requests within the quota may be retried at once.
+/// Immediate retries of rejected over-quota requests would add to the same overload, so these requests get a
+/// Retry-After. Requests within quota may be retried at once.
 #[test]
 fn only_rejected_over_quota_requests_get_retry_after() {
     let mut limited = Settings { max_retry_after: 2 * S, ..settings() };
@@ -54,9 +54,9 @@
     assert_eq!(retry_after(&node.handle(Event::TimerFired(TimerToken::Request(1))), 1), Some(Duration::ZERO));
 }
 
-/// Requests were queued until the last moment at which half of the responses would still be in time. The
-/// other half was late, in overload a fifth of all responses, and used capacity that was needed for
-/// requests that could still be in time.
+/// When requests were queued until only half of their responses would still be in time, the other half was
+/// late: in overload a fifth of all responses. These used capacity that was needed for requests whose
+/// responses could still be in time.
 #[test]
 fn rejects_a_queued_request_before_half_of_the_responses_would_be_late() {
     let classes = vec![RequestClass { late_weight: 0.0, ..class(Idempotency::Idempotent) }];
@@ -86,7 +86,7 @@
     assert!(!rejected(&node.fire_timer(id, 200 * MS), id));
     assert!(!rejected(&node.fire_timer(id, 100 * MS), id));
     assert!(has_retry_after(&node.fire_timer(id, 151 * MS), id));
-    // A request beyond its tenant's quota is rejected even though it could still meet the latency objective.
+    // An over-quota request is rejected even though it could still meet the latency objective.
     let tenants = vec![Tenant { quota_per_second: 4.0, service_share: 1.0 }];
     let classes = vec![RequestClass { latency_objective: 800 * MS, ..class(Idempotency::Idempotent) }];
     let limited = Settings { max_retry_after: 2 * S, tenants, classes, ..settings() };
@@ -96,8 +96,8 @@
     assert!(has_retry_after(&node.fire_timer(id, 51 * MS), id));
 }
 
-/// Responses come so late that more requests would make all responses late: requests beyond a quota are no
-/// longer admitted, and fewer of those within it. One of few nodes queues requests instead.
+/// Responses come so late that more requests would make all responses late: over-quota requests are no longer
+/// admitted, and fewer of those within quota. If there are few nodes, a node queues requests instead.
 #[test]
 fn one_of_many_nodes_sheds_when_its_attempts_wait() {
     for (nodes, sheds) in [(200, true), (2, false)] {
--- a/tests/balancer/concurrency.rs
+++ b/tests/balancer/concurrency.rs
@@ -6,7 +6,7 @@
 
 use crate::support::*;
 
-/// All endpoints respond four times slower than before, always late: the limit must not collapse.
+/// All endpoints take four times as long as before, and every response is late: the limit must not collapse.
 #[test]
 fn the_limit_does_not_collapse_when_all_endpoints_slow_down() {
     let mut node = TestNode::new(settings(), endpoints(1..9));
@@ -130,7 +130,7 @@
 #[test]
 fn the_limit_covers_the_demand_soon_after_the_start() {
     let in_flight = in_flight_after(1, 14 * MS, true);
-    assert!(in_flight > 20, "{in_flight} in flight where the arriving requests alone keep 7 busy");
+    assert!(in_flight > 20, "{in_flight} in flight where the arriving requests alone keep 7 endpoints busy");
 }
 
 /// The baseline latency of a class without responses is a guess: when the guess counted as demand, the first
@@ -155,5 +155,5 @@
 #[test]
 fn the_limit_stays_low_when_demand_exceeds_capacity() {
     let in_flight = in_flight_after(4, 10 * MS, false);
-    assert!(in_flight <= 80, "{in_flight} in flight at eight endpoints that take one at a time");
+    assert!(in_flight <= 80, "{in_flight} in flight at eight endpoints that execute one at a time");
 }
--- a/tests/balancer/outliers.rs
+++ b/tests/balancer/outliers.rs
@@ -19,7 +19,7 @@
     assert!(failing * 10 < all, "{failing} of {all} went to endpoints that fail");
 }
 
-/// Ejecting most of the endpoints would overload the few others: then none is ejected.
+/// If most of the endpoints fail, none is ejected: the few others would be overloaded.
 #[test]
 fn failing_endpoints_are_ejected_only_while_they_are_at_most_half_of_the_pool() {
     for (failing, ejected) in [(1, true), (3, false)] {
@@ -61,7 +61,7 @@
     assert!(to.iter().any(|endpoint| !pool.contains(endpoint)), "{to:?} all went to {pool:?}");
 }
 
-/// Requests that wait for the few endpoints which do not return errors for their class must not block
+/// Requests that wait for the few endpoints that do not return errors for their class must not block
 /// requests of other classes.
 #[test]
 fn a_class_with_errors_on_most_endpoints_does_not_block_other_classes() {
--- a/tests/balancer/random_scenario.rs
+++ b/tests/balancer/random_scenario.rs
@@ -23,7 +23,7 @@
     /// Whether the request needs no answer any more.
     pub finished: bool,
     pub attempts: Vec<AttemptRecord>,
-    /// Whether its body is being forwarded, so that it can't be sent again.
+    /// Whether its body is being streamed, so that it can't be sent again.
     pub body_forwarded: bool,
 }
 
@@ -240,7 +240,8 @@
         self.handle(Event::ClientDisconnected(id));
     }
 
-    /// Starts to forward the body, or later the response, of a request with one attempt in flight.
+    /// Starts to stream the body of a request with one attempt in flight, or its response if the body is
+    /// streamed already.
     fn stream_body(&mut self) {
         let has_one_in_flight = |request: &RequestRecord| {
             !request.finished && request.attempts.len() == 1 && request.attempts[0].outcome.is_none()
--- a/tests/balancer/rule_checks.rs
+++ b/tests/balancer/rule_checks.rs
@@ -38,7 +38,7 @@
         assert!(!request.body_forwarded, "sent a request again whose body is not kept");
         let endpoint = self.listed[&to];
         assert_eq!(endpoint.state, EndpointState::Ready, "sent to an endpoint that is draining or gone");
-        assert!(!self.in_maintenance.contains(&to), "sent to an endpoint under maintenance");
+        assert!(!self.in_maintenance.contains(&to), "sent to an endpoint in maintenance");
         let in_flight = request.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count();
         assert!(in_flight == 0 || s.hedging, "hedged although the settings don't allow it");
         assert!(request.attempts.len() < usize::from(s.max_attempts), "too many attempts");
--- a/tests/balancer/rules.rs
+++ b/tests/balancer/rules.rs
@@ -51,7 +51,7 @@
 }
 
 /// Runs a node with ten endpoints and one request every 5 ms for 20 s. After 5 s, endpoint 3 restarts or
-/// returns from maintenance. The endpoint list does not show the maintenance.
+/// exits maintenance. The endpoint list does not show the maintenance.
 fn run_slow_start(seed: u64, maintenance: bool) -> SlowStartRun {
     let settings = settings();
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -86,8 +86,8 @@
 }
 
 /// Rule 4 limits the load of an endpoint in slow start: over any window, its attempts stay below
-/// `OVERLOAD_MULTIPLE` times its capacity. The capacity is a fraction of what a warm endpoint of the same
-/// node gets, and the test takes the one at the start of the window.
+/// `OVERLOAD_MULTIPLE` times its capacity. The capacity is a fraction of what the endpoints of the node get
+/// on average, and the test uses the fraction at the start of the window.
 #[test]
 fn an_endpoint_in_slow_start_is_never_overloaded() {
     for (seed, maintenance) in (0..10).zip([false, true].into_iter().cycle()) {
--- a/tests/balancer/selection.rs
+++ b/tests/balancer/selection.rs
@@ -28,8 +28,8 @@
     }
 }
 
-/// Endpoints of the node's zone that are filled first respond later than those of other zones, by more than
-/// the network latency between zones.
+/// If a node filled the endpoints of its own zone first, these would respond later than those of other zones,
+/// by more than the network latency between zones.
 #[test]
 fn spreads_requests_over_zones_despite_a_cross_zone_price() {
     let list: Vec<_> =
@@ -61,8 +61,8 @@
     assert_eq!(used.len(), 8);
 }
 
-/// A load-dependent weight is one second old and the same at all nodes: selecting by it, all nodes overloaded
-/// endpoints that had been idle before.
+/// A load-dependent weight is one second old and the same at all nodes: when all nodes selected by it, they
+/// overloaded endpoints that had been idle before.
 #[test]
 fn a_load_dependent_weight_does_not_change_an_endpoint_size() {
     let settings = Settings { load_dependent_weights: true, ..many_nodes(200, 5) };
--- a/tests/balancer/subsets.rs
+++ b/tests/balancer/subsets.rs
@@ -36,7 +36,7 @@
     assert!(small * 2 < large && large < small * 6, "{large} to large endpoints, {small} to small ones");
 }
 
-/// An endpoint that has the node's only attempt in flight and does not answer is not selected again.
+/// An endpoint that has the node's only attempt in flight and does not respond is not selected again.
 #[test]
 fn does_not_select_an_unresponsive_endpoint_of_the_subset_again() {
     let mut node = TestNode::new(many_nodes(200, 3), endpoints(1..41));
@@ -108,8 +108,8 @@
     assert!((6..=12).contains(&sent), "{sent} of 30 sent at once");
 }
 
-/// A small pool looks free to each of many nodes: the requests beyond the capacity of the large pool at all
-/// nodes went to the same few endpoints, some of which were in slow start.
+/// A small pool looks free to each of many nodes. The requests that the large pool had no capacity for were
+/// sent by all nodes to the same few endpoints, some of which were in slow start.
 #[test]
 fn many_nodes_spill_over_to_a_small_pool_in_proportion_to_its_size() {
     let tenants = vec![Tenant { quota_per_second: 1_000.0, service_share: 0.005 }; 4];
