--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -9,8 +9,8 @@
 /// unevenly.
 const MIN_BURST_TOKENS: f64 = 4.0;
 
-/// Token bucket for this node's share of a tenant's quota. It holds the tokens of one second, at least
-/// [`MIN_BURST_TOKENS`].
+/// Token bucket for this node's share of a tenant's quota. It holds at most the tokens of one second, or
+/// [`MIN_BURST_TOKENS`] if that is more.
 struct TokenBucket {
     rate_per_second: f64,
     burst: f64,
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -8,7 +8,7 @@
 /// Factor by which the baseline grows with each response while the median is not below it, so that lower
 /// latencies of the past are slowly forgotten.
 const BASELINE_GROWTH: f64 = 1.00002;
-/// The initial guess of the median, as a fraction of the class's latency objective.
+/// Initial guess of the median and the baseline, as a fraction of the class's latency objective.
 const INITIAL_OBJECTIVE_FRACTION: f64 = 0.25;
 /// A response is expected within this multiple of the median, since half of all responses take longer than
 /// the median.
--- a/src/balancer/maintenance.rs
+++ b/src/balancer/maintenance.rs
@@ -52,7 +52,7 @@
     }
 
     /// Returns whether an endpoint still has to be sent one request soon, to show that it is in use again.
-    pub(super) fn probe_pending(&self, id: EndpointId) -> bool {
+    pub(super) fn is_probe_pending(&self, id: EndpointId) -> bool {
         self.exits.get(&id).is_some_and(|exit| exit.probe_pending)
     }
 
--- a/src/balancer/queue.rs
+++ b/src/balancer/queue.rs
@@ -7,8 +7,8 @@
 
 /// Fraction of a pool's capacity up to which over-quota requests are sent to it.
 const OVER_QUOTA_MAX_UTILIZATION: f64 = 0.8;
-/// Fraction of a pool's capacity below which it accepts hedges, and requests that spill over from other
-/// pools.
+/// Fraction of a pool's capacity below which it accepts requests that spill over from other pools, and hedges
+/// while these rarely win.
 pub(super) const SPARE_CAPACITY_MAX_UTILIZATION: f64 = 0.5;
 /// Interval at which queued requests are dispatched, in multiples of
 /// [`Settings::clock_granularity`](super::Settings::clock_granularity).
@@ -87,9 +87,10 @@
     /// ```text
     /// value density = priority_weight * quota_weight * late_weight / median
     ///
-    /// quota_weight  Settings::over_quota_weight for an over-quota request, else 1
-    /// late_weight   that of the class if the response would be late, else 1
-    /// median        median latency of the class in microseconds
+    /// priority_weight  that of the class
+    /// quota_weight     Settings::over_quota_weight for an over-quota request, else 1
+    /// late_weight      that of the class if the response would be late, else 1
+    /// median           median latency of the class in microseconds
     /// ```
     fn value_density(&self, request: &QueuedRequest) -> f64 {
         let class = &self.settings.classes[request.class];
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -16,7 +16,7 @@
 /// One attempt to have a request executed.
 #[derive(Clone, Copy)]
 pub(super) struct Attempt {
-    /// Entry of the endpoint list when the attempt was sent.
+    /// Entry of its endpoint in the endpoint list when the attempt was sent.
     pub(super) endpoint: EndpointInfo,
     pub(super) sent_at: Timestamp,
     pub(super) state: AttemptState,
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -13,7 +13,7 @@
         let random = self.random.u64(..);
         let request = &self.requests[&id];
         let eligible = self.eligible_endpoints(request, pool);
-        if let Some(probed) = eligible.iter().copied().find(|i| self.probe_pending(*i)) {
+        if let Some(probed) = eligible.iter().copied().find(|i| self.is_probe_pending(*i)) {
             return Some(probed);
         }
         // With key affinity, a request costs an endpoint less if it has recently served one with the same
@@ -63,15 +63,15 @@
         let eligible_fraction = slow_start * (self.settings.overload_multiple / 2.0).max(1.0);
         (endpoint.in_flight == 0 || f64::from(endpoint.in_flight) < self.capacity(i).ceil())
             && (eligible_fraction >= 1.0
-                || self.probe_pending(i)
+                || self.is_probe_pending(i)
                 || unit_hash(request.entry.id, id) <= eligible_fraction)
             && !request.in_flight().any(|attempt| attempt.endpoint.id == id)
             && may_send(&self.settings, request, &endpoint.info, self.now)
     }
 
     /// Samples two endpoints, with a higher probability for endpoints with a larger selection weight and a
-    /// lower latency ratio. Most nodes have no attempt in flight at either endpoint, and the comparison of
-    /// loads alone would send nearly all requests to the largest endpoint.
+    /// lower latency ratio. If there are many nodes, most of them have no attempt in flight at either
+    /// endpoint, and the comparison of loads alone would send nearly all requests to the largest endpoint.
     ///
     /// The sample is taken by weighted rendezvous hashing: it consists of the two endpoints with the lowest
     /// scores.
@@ -97,8 +97,8 @@
     }
 
     /// Returns whether an endpoint that has exited maintenance still has to be sent one request.
-    fn probe_pending(&self, i: usize) -> bool {
-        self.table.maintenance.probe_pending(self.table.endpoints[i].info.id)
+    fn is_probe_pending(&self, i: usize) -> bool {
+        self.table.maintenance.is_probe_pending(self.table.endpoints[i].info.id)
     }
 
     /// Returns the members of a pool, or all ready endpoints if the pool is empty.
@@ -114,6 +114,7 @@
     /// capacity = limit / node_count * relative size * slow start / latency ratio
     ///
     /// limit           concurrency limit of an endpoint of mean size over all nodes, in attempts
+    /// node_count      number of nodes, from the settings
     /// relative size   size of the endpoint relative to the mean of the ready endpoints
     /// slow start      fraction of its capacity that the endpoint has during slow start, else 1
     /// latency ratio   median latency of the endpoint relative to that of all endpoints
--- a/src/balancer/subsets.rs
+++ b/src/balancer/subsets.rs
@@ -35,7 +35,7 @@
 pub(super) struct Pool {
     /// Indices in the endpoint table.
     pub(super) members: Vec<usize>,
-    /// Number of endpoints in this node's subset.
+    /// Number of endpoints in this node's subset if all members had the same size, rounded up.
     pub(super) subset_size: f64,
 }
 
@@ -113,6 +113,8 @@
 ///                    * SPILLOVER_WEIGHT_FACTOR ^ (1 + min(spillover steps, MAX_SPILLOVER_STEPS))
 /// selection weight = max(overlap, spillover)
 ///
+/// node count    number of nodes, from the settings
+/// node index    index of this node among them, from 0
 /// ring length   sum of the members' relative sizes
 /// distance      distance along the ring from the end of the subset to the start of the member's arc
 /// overlap       length of the member's arc that lies in the subset
--- a/src/settings_format.rs
+++ b/src/settings_format.rs
@@ -179,7 +179,7 @@
     const EXPECTED: &'static str = "a number";
 }
 
-/// Values of a text by path. If a path occurs more than once, its last value is used.
+/// Values of the settings in a text by path. If a path occurs more than once, its last value is used.
 struct RawSettings<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> RawSettings<'a> {
