--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -13,15 +13,15 @@
 pub(super) struct Endpoint {
     /// Entry of the endpoint in the last snapshot or delta that contained it.
     pub(super) info: EndpointInfo,
-    /// Size relative to the mean size of the ready endpoints.
+    /// Size relative to the mean size of the ready endpoints; 1 if its size is unknown.
     pub(super) relative_size: f64,
-    /// The part of the relative size that lies in this node's subset. Outside of the subset, a small fraction
-    /// of the relative size that decreases with the distance to the subset.
+    /// The share of the relative size that lies in this node's subset. Outside of the subset, a small
+    /// fraction of the relative size that decreases with the distance from the subset.
     pub(super) selection_weight: f64,
     /// Number of this node's attempts that the endpoint is executing.
     pub(super) in_flight: u32,
     /// When this node last sent an attempt to the endpoint; the start of the clock if it never did.
-    pub(super) last_sent: Timestamp,
+    pub(super) last_sent_at: Timestamp,
     pub(super) outliers: EndpointOutliers,
     pub(super) latency_ratio: LatencyRatio,
 }
@@ -34,7 +34,7 @@
             relative_size: 0.0,
             selection_weight: 0.0,
             in_flight: 0,
-            last_sent: Timestamp::default(),
+            last_sent_at: Timestamp::default(),
             outliers: EndpointOutliers::new(class_count),
             latency_ratio: LatencyRatio(1.0),
         }
@@ -43,7 +43,7 @@
     /// Returns the latency ratio; 1 after [`DECAY_TIME_US`] without attempts, so that a slow endpoint is
     /// tried again.
     pub(super) fn latency_ratio_at(&self, now: Timestamp) -> f64 {
-        if now.micros_since(self.last_sent) < DECAY_TIME_US { self.latency_ratio.0 } else { 1.0 }
+        if now.micros_since(self.last_sent_at) < DECAY_TIME_US { self.latency_ratio.0 } else { 1.0 }
     }
 }
 
@@ -52,7 +52,7 @@
 pub(super) struct EndpointTable {
     /// Sorted by id.
     pub(super) endpoints: Vec<Endpoint>,
-    /// Indices of the endpoints that take new requests.
+    /// Indices of the endpoints that get new requests: those listed as ready that are not in maintenance.
     pub(super) ready: Vec<usize>,
     pub(super) maintenance: Maintenance,
     /// Largest weight seen for each machine type, which is the weight of an idle machine.
@@ -118,7 +118,7 @@
 
     /// Returns the size of an endpoint according to the endpoint list: its weight, or the largest weight seen
     /// for its machine type if weights depend on load. Load-dependent weights are outdated and the same at
-    /// all nodes: selecting by them, all nodes would overload the endpoints that were idle some time ago.
+    /// all nodes: if all nodes selected by them, they would overload the endpoints that had been idle before.
     fn listed_size(&self, i: usize, settings: &Settings) -> f64 {
         let info = &self.endpoints[i].info;
         match self.machine_type_sizes.get(&info.machine_type) {
@@ -133,14 +133,15 @@
     /// ```text
     /// slow start factor = slow_start_from + (1 - slow_start_from) * min(age / slow_start_window, 1)
     ///
-    /// age   time since the endpoint's start, in microseconds
+    /// age                 time since the endpoint's start, in microseconds; infinite if that is unknown
+    /// slow_start_window   duration of the slow start, in microseconds
     /// ```
     pub(super) fn slow_start_factor(&self, i: usize, now: Timestamp, settings: &Settings) -> f64 {
         let started_at = self.maintenance.started_at(&self.endpoints[i].info);
         let long_ago = started_at == Timestamp::default();
         let age_us = if long_ago { u64::MAX as f64 } else { now.micros_since(started_at) };
-        let warmed_up = (age_us / whole_micros(settings.slow_start_window).max(1) as f64).min(1.0);
-        settings.slow_start_from + (1.0 - settings.slow_start_from) * warmed_up
+        let progress = (age_us / whole_micros(settings.slow_start_window).max(1) as f64).min(1.0);
+        settings.slow_start_from + (1.0 - settings.slow_start_from) * progress
     }
 
     /// Counts a failure at an endpoint, updates the baseline of its peers, which are the ready endpoints by
--- a/src/balancer/subsets.rs
+++ b/src/balancer/subsets.rs
@@ -18,7 +18,7 @@
 const LABEL_SALT_COUNT: u64 = 64;
 /// Minimum number of endpoints in a label's pool if there are enough endpoints.
 const MIN_POOL_SIZE: usize = 4;
-/// Number of nodes whose subsets contain an endpoint of mean size.
+/// Mean number of nodes whose subsets contain a given point of a pool's ring of endpoints.
 const NODES_PER_ENDPOINT: f64 = 6.0;
 /// Fractional part of the golden ratio. Its multiples are evenly spread over the ring, whatever their number.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
@@ -35,7 +35,7 @@
 pub(super) struct Pool {
     /// Indices in the endpoint table.
     pub(super) members: Vec<usize>,
-    /// Number of endpoints in this node's subset.
+    /// Number of endpoints in this node's subset if all members had the same size, rounded up.
     pub(super) subset_size: f64,
 }
 
@@ -113,6 +113,8 @@
 ///                    * SPILLOVER_WEIGHT_FACTOR ^ (1 + min(spillover steps, MAX_SPILLOVER_STEPS))
 /// selection weight = max(overlap, spillover)
 ///
+/// node count    number of nodes, from the settings
+/// node index    index of this node among them, from 0
 /// ring length   sum of the members' relative sizes
 /// distance      distance along the ring from the end of the subset to the start of the member's arc
 /// overlap       length of the member's arc that lies in the subset
--- a/tests/balancer/rules.rs
+++ b/tests/balancer/rules.rs
@@ -51,7 +51,7 @@
 }
 
 /// Runs a node with ten endpoints and one request every 5 ms for 20 s. After 5 s, endpoint 3 restarts or
-/// returns from maintenance. The endpoint list does not show the maintenance.
+/// exits maintenance. The endpoint list does not show the maintenance.
 fn run_slow_start(seed: u64, maintenance: bool) -> SlowStartRun {
     let settings = settings();
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -86,22 +86,23 @@
 }
 
 /// Rule 4 limits the load of an endpoint in slow start: over any window, its attempts stay below
-/// `OVERLOAD_MULTIPLE` times its capacity. The capacity is a fraction of what a warm endpoint of the same
-/// node gets, and the test takes the one at the start of the window.
+/// `OVERLOAD_MULTIPLE` times its capacity. The capacity is a fraction of what the endpoints of the node get
+/// on average, and the test uses the fraction at the start of the window.
 #[test]
 fn an_endpoint_in_slow_start_is_never_overloaded() {
     for (seed, maintenance) in (0..10).zip([false, true].into_iter().cycle()) {
         let SlowStartRun { settings: s, started, ended, sent } = run_slow_start(seed, maintenance);
         let micros = |duration: Duration| duration.as_micros() as f64;
         let all: usize = sent.values().map(Vec::len).sum();
-        let warm_rate = all as f64 / micros(ended.saturating_duration_since(started)) / 10.0;
-        let warming_up = &sent[&3];
-        assert!(!warming_up.is_empty(), "an endpoint in slow start got no attempts");
-        for &from in warming_up {
-            let within = warming_up.iter().filter(|at| (from..from + WINDOW).contains(at)).count() as f64;
+        let mean_rate = all as f64 / micros(ended.saturating_duration_since(started)) / 10.0;
+        let slow_start_sends = &sent[&3];
+        assert!(!slow_start_sends.is_empty(), "an endpoint in slow start got no attempts");
+        for &from in slow_start_sends {
+            let within =
+                slow_start_sends.iter().filter(|at| (from..from + WINDOW).contains(at)).count() as f64;
             let age = micros(from.saturating_duration_since(started)) / micros(s.slow_start_window);
             let capacity =
-                warm_rate * micros(WINDOW) * (s.slow_start_from + (1.0 - s.slow_start_from) * age.min(1.0));
+                mean_rate * micros(WINDOW) * (s.slow_start_from + (1.0 - s.slow_start_from) * age.min(1.0));
             assert!(
                 within <= OVERLOAD_MULTIPLE * capacity + 2.0,
                 "seed {seed}: {within} attempts at a capacity of {capacity}"
