--- a/src/node/admin/service.rs
+++ b/src/node/admin/service.rs
@@ -42,9 +42,9 @@
         let state = self.store.state();
         let applied = self.applied.replace(state.clone());
         self.lifecycle.set_standby(state.standby);
-        for (uid, returned_at) in &state.returned_at {
-            if applied.returned_at.get(uid) != Some(returned_at) {
-                self.engine.exit_maintenance(endpoint_id(uid), Timestamp::from_micros(*returned_at));
+        for (uid, exited_at) in &state.exited_at {
+            if applied.exited_at.get(uid) != Some(exited_at) {
+                self.engine.exit_maintenance(endpoint_id(uid), Timestamp::from_micros(*exited_at));
             }
         }
         for uid in &state.maintenance {
--- a/src/node/state_store/admin_state.rs
+++ b/src/node/state_store/admin_state.rs
@@ -16,7 +16,7 @@
 
 /// How long the time at which an endpoint left maintenance is kept. No endpoint's slow start takes longer, so
 /// the time has no effect afterwards.
-const RETURN_RETENTION: Duration = Duration::from_secs(600);
+const EXIT_TIME_RETENTION: Duration = Duration::from_secs(600);
 
 /// The state that operators have set through the admin API, and the number of process starts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
     /// The times at which endpoints left maintenance, by uid, in microseconds of Unix time. Entries are kept
     /// for as long as the slow start of an endpoint may take.
     #[serde(rename = "returned")]
-    pub returned_at: BTreeMap<String, u64>,
+    pub exited_at: BTreeMap<String, u64>,
 }
 
 impl AdminState {
@@ -45,7 +45,7 @@
 
     /// Puts an endpoint into maintenance.
     pub fn enter_maintenance(&mut self, uid: String) {
-        self.returned_at.remove(&uid);
+        self.exited_at.remove(&uid);
         self.maintenance.insert(uid);
     }
 
@@ -53,9 +53,9 @@
     /// start of the endpoint begins with the first one.
     pub fn exit_maintenance(&mut self, uid: &str, now: Timestamp) {
         if self.maintenance.remove(uid) {
-            let age = |returned_at| now.saturating_duration_since(Timestamp::from_micros(returned_at));
-            self.returned_at.retain(|_, returned_at| age(*returned_at) < RETURN_RETENTION);
-            self.returned_at.insert(uid.to_string(), now.as_micros());
+            let age = |exited_at| now.saturating_duration_since(Timestamp::from_micros(exited_at));
+            self.exited_at.retain(|_, exited_at| age(*exited_at) < EXIT_TIME_RETENTION);
+            self.exited_at.insert(uid.to_string(), now.as_micros());
         }
     }
 }
--- a/tests/layout.rs
+++ b/tests/layout.rs
@@ -55,7 +55,7 @@
 }
 
 /// Returns the first segment of a path.
-fn first_name(path: &str) -> &str {
+fn first_segment(path: &str) -> &str {
     let path = path.trim_start();
     let end = path.find(|c: char| !c.is_alphanumeric() && c != '_').unwrap_or(path.len());
     &path[..end]
@@ -67,8 +67,8 @@
     for (at, _) in code.match_indices(prefix) {
         let rest = &code[at + prefix.len()..];
         match rest.strip_prefix('{') {
-            Some(group) => names.extend(group_items(group).into_iter().map(first_name)),
-            None => names.push(first_name(rest)),
+            Some(group) => names.extend(group_items(group).into_iter().map(first_segment)),
+            None => names.push(first_segment(rest)),
         }
     }
     names
--- a/tests/node/standby.rs
+++ b/tests/node/standby.rs
@@ -42,11 +42,11 @@
     assert_eq!(node.health(), 200);
     assert_eq!(node.client().exchange(&view_request()).header("connection"), None);
     // A return to service before the node is drained keeps open connections.
-    let mut stays = node.client();
-    assert_eq!(stays.exchange(&view_request()).status(), 200);
+    let mut reused = node.client();
+    assert_eq!(reused.exchange(&view_request()).status(), 200);
     assert_eq!(node.admin_request("POST", "/standby", "").status(), 200);
     assert_eq!(node.admin_request("POST", "/active", "").status(), 200);
-    assert_eq!((node.health(), stays.exchange(&view_request()).status()), (200, 200));
+    assert_eq!((node.health(), reused.exchange(&view_request()).status()), (200, 200));
 }
 
 #[test]
--- a/tests/node/version_upgrade.rs
+++ b/tests/node/version_upgrade.rs
@@ -40,8 +40,8 @@
     assert_eq!(node.set_maintenance("exit", "b"), 200);
     let written = fs::read_to_string(&path).unwrap();
     let prefix = r#"{"version":1,"orders":{"starts":4,"standby":false,"maintenance":["a"],"returned":{"b":"#;
-    let returned_at = written.strip_prefix(prefix).and_then(|rest| rest.strip_suffix("}}}")).expect(&written);
-    assert!(returned_at.parse::<u64>().is_ok_and(|micros| micros > 1_764_680_000_000_000), "{written}");
+    let exited_at = written.strip_prefix(prefix).and_then(|rest| rest.strip_suffix("}}}")).expect(&written);
+    assert!(exited_at.parse::<u64>().is_ok_and(|micros| micros > 1_764_680_000_000_000), "{written}");
     let files = fs::read_dir(&state_dir).unwrap().map(|entry| entry.unwrap().file_name());
     let mut files: Vec<String> = files.map(|name| name.into_string().unwrap()).collect();
     files.sort();
--- a/tests/support/node.rs
+++ b/tests/support/node.rs
@@ -17,18 +17,18 @@
 struct Launch {
     command: Command,
     sockets: usize,
-    admin: bool,
+    has_admin_api: bool,
 }
 
 impl Launch {
     fn new(command: Command) -> Launch {
-        Launch { command, sockets: DEFAULT_SOCKETS, admin: false }
+        Launch { command, sockets: DEFAULT_SOCKETS, has_admin_api: false }
     }
 
     /// Returns parameters for a node with the admin API and this directory for the state file.
     fn with_admin(mut command: Command, state_dir: &Path, sockets: usize) -> Launch {
         command.env("TMPDIR", state_dir);
-        Launch { command, sockets, admin: true }
+        Launch { command, sockets, has_admin_api: true }
     }
 
     /// Starts the node and discards its log, so that a full pipe never blocks the node.
@@ -49,7 +49,7 @@
             "discovery": discovery.local_addr().unwrap().to_string(),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
             "known": list_message(41, true, endpoints), "settings": settings()});
-        if self.admin {
+        if self.has_admin_api {
             config["operator"] = "127.0.0.1:0".into();
         }
         change(&mut config);
@@ -63,7 +63,7 @@
             line.trim().rsplit(' ').next().unwrap().parse().expect(&line)
         };
         let address = read_logged_address();
-        let admin = self.admin.then(read_logged_address);
+        let admin = self.has_admin_api.then(read_logged_address);
         (Node { address, admin, discovery, config, path, child }, log)
     }
 }
--- a/tests/unit/admin_commands.rs
+++ b/tests/unit/admin_commands.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn only_commands_about_an_endpoint_need_a_body() {
+fn only_commands_for_an_endpoint_need_a_body() {
     for route in [Route::Status, Route::EnterStandby, Route::ExitStandby] {
         assert!(route.command(b"not JSON").is_ok(), "{route:?}");
     }
--- a/tests/unit/state_store.rs
+++ b/tests/unit/state_store.rs
@@ -19,7 +19,7 @@
     let state = store.state();
     assert_eq!((state.process_starts, state.standby), (3, true));
     assert!(state.maintenance.iter().eq(["s-0a1aeea2", "s-5be2a07c"]));
-    assert!(state.returned_at.iter().eq([(&"s-77".to_string(), &1_764_680_000_000_000)]));
+    assert!(state.exited_at.iter().eq([(&"s-77".to_string(), &1_764_680_000_000_000)]));
     update(&store, |_| {}).unwrap();
     assert_eq!(folder.read("dunelink-n0.json"), STATE_FILE);
     update(&store, |state| assert_eq!(state.register_process(), 4)).unwrap();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn keeps_return_times_for_the_retention_period() {
+fn keeps_exit_times_for_the_retention_period() {
     let mut state = AdminState::default();
     let seconds = |seconds: u64| Timestamp::from_micros(seconds * 1_000_000);
     for uid in ["a", "b"] {
@@ -98,9 +98,9 @@
     }
     state.exit_maintenance("a", seconds(1000));
     state.exit_maintenance("a", seconds(1100));
-    assert_eq!(state.returned_at["a"], 1_000_000_000, "a second exit changes nothing");
+    assert_eq!(state.exited_at["a"], 1_000_000_000, "a second exit changes nothing");
     state.exit_maintenance("b", seconds(1600));
-    assert!(state.returned_at.keys().eq(["b"]), "{state:?}");
+    assert!(state.exited_at.keys().eq(["b"]), "{state:?}");
     state.enter_maintenance("b".into());
-    assert!(state.returned_at.is_empty() && state.maintenance.contains("b"));
+    assert!(state.exited_at.is_empty() && state.maintenance.contains("b"));
 }
