--- a/src/node/admin/commands.rs
+++ b/src/node/admin/commands.rs
@@ -33,9 +33,9 @@
         /// The endpoint's uid in discovery.
         uid: String,
     },
-    /// Drain the node of clients.
+    /// Put the node into standby, which drains it of clients.
     EnterStandby,
-    /// Accept new clients again.
+    /// End standby, so that the node accepts new clients again.
     ExitStandby,
 }
 
@@ -74,7 +74,7 @@
     /// The body of a command for an endpoint does not name an endpoint.
     #[error("not {{\"host\":\"ID\"}}")]
     MalformedBody,
-    /// No endpoint list has contained the endpoint.
+    /// The endpoint is not in maintenance, and no endpoint list has contained it.
     #[error("no such host")]
     UnknownEndpoint,
     /// The new state could not be written.
--- a/src/node/admin/mod.rs
+++ b/src/node/admin/mod.rs
@@ -1,5 +1,5 @@
 //! The admin API: commands of operators over HTTP on a separate address, one request per connection. It
-//! responds however high the load from clients is.
+//! responds regardless of the load from clients.
 //!
 //! The listener accepts connections, reads a command from each, has the service execute it, and writes the
 //! response.
--- a/src/node/admin/service.rs
+++ b/src/node/admin/service.rs
@@ -16,14 +16,14 @@
 use crate::protocol::endpoint_list::endpoint_id;
 use crate::state_store::{AdminState, StateStore};
 
-/// How long a response is delayed so that the other process of the node has applied the new state: two times
+/// How long a response is delayed to let the other process of the node apply the new state: two times
 /// [`crate::state_store::POLL_INTERVAL`], and 20 ms for processing.
 const PROPAGATION_DELAY: Duration = Duration::from_millis(120);
 
-/// Changes the state of the node as operators command, and applies the state to this process.
+/// Executes the commands of operators, and applies the resulting state to this process.
 pub struct AdminService {
     store: Rc<StateStore>,
-    /// The state that was last applied to the life cycle and the engine.
+    /// The state that was last applied to the lifecycle and the engine.
     applied: RefCell<AdminState>,
     lifecycle: Rc<Lifecycle>,
     engine: EngineHandle,
@@ -37,7 +37,7 @@
         service
     }
 
-    /// Applies the state that was last read or written to the life cycle and the engine.
+    /// Applies the state that was last read or written to the lifecycle and the engine.
     pub fn reconcile(&self) {
         let state = self.store.state();
         let applied = self.applied.replace(state.clone());
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Executes a command. A response that reports success is returned once all processes have applied it.
+    /// Executes a command. If it changes the state, returns once all processes have had time to apply it.
     pub async fn execute(&self, command: Command) -> Result<AdminResponse, CommandError> {
         match command {
             Command::Status => return Ok(self.report_status()),
@@ -70,7 +70,7 @@
         Ok(status_response(StatusCode::OK, &self.node_status()))
     }
 
-    /// Changes the state, and returns once all processes have applied it.
+    /// Changes the state, and returns once all processes have had time to apply it.
     async fn update(&self, change: impl FnOnce(&mut AdminState)) -> Result<(), CommandError> {
         if let Err(error) = self.store.update(change).await {
             log!("cannot execute an admin command: {}", ErrorChain(&error));
--- a/src/node/config/file.rs
+++ b/src/node/config/file.rs
@@ -8,7 +8,7 @@
 use super::error::{AddressError, FileError};
 use crate::protocol::endpoint_list::EndpointList;
 
-/// Deserializers that add the name of the field to errors.
+/// Deserializers that add the name of a field to its errors.
 mod field {
     crate::protocol::named_field::named_fields!(
         name, listen, discovery, operator, seed, limits, known, settings, sockets, memory_mb
--- a/src/node/config/limits.rs
+++ b/src/node/config/limits.rs
@@ -7,15 +7,16 @@
 /// Descriptors reserved for everything but connections with clients and endpoints: standard streams, epoll,
 /// wake-ups, signals, the listeners, discovery, the files of the state store, and the admin API.
 const RESERVED_DESCRIPTORS: usize = 16 + MAX_ADMIN_CONNECTIONS;
-/// Minimum of the connection limit. It applies even if there are fewer descriptors or less memory.
+/// Minimum of the connection limit. It applies even if the descriptors or the memory allow fewer connections.
 const MIN_CONNECTIONS: usize = 8;
 
 /// Bodies that are buffered completely may use at most the memory divided by this number.
 const BUFFERED_BODIES_DIVISOR: usize = 8;
-/// Buffers of connections would use the memory divided by this number if each descriptor were a connection.
+/// The size of a connection's buffer is chosen so that one buffer for each descriptor would use the memory
+/// divided by this number. [`CONNECTION_BUFFER_BYTES`] bounds the size.
 const CONNECTION_BUFFERS_DIVISOR: usize = 4;
 /// Smallest and largest size of a connection's buffer for one direction. hyper accepts no smaller buffer, and
-/// a larger one is of no use.
+/// a larger one has no benefit.
 const CONNECTION_BUFFER_BYTES: RangeInclusive<usize> = 8 << 10..=32 << 10;
 /// Memory of a connection in addition to its buffers: hyper's buffers for heads and for requests on their way
 /// to it, and the tasks that serve the connection.
@@ -48,7 +49,7 @@
 }
 
 impl ResourceLimits {
-    /// Calculates the limits for this number of descriptors and this memory, or for the defaults.
+    /// Calculates the limits for this number of descriptors and this memory, each of which has a default.
     pub(super) fn new(descriptors: Option<usize>, memory_mib: Option<usize>) -> ResourceLimits {
         let descriptors = descriptors.unwrap_or(DEFAULT_DESCRIPTORS);
         let memory = memory_mib.unwrap_or(DEFAULT_MEMORY_MIB).max(1) << 20;
--- a/src/node/config/settings_object.rs
+++ b/src/node/config/settings_object.rs
@@ -51,8 +51,8 @@
     }
 }
 
-/// Appends a line for each setting in `value`. A list with objects has a line `path.count`, and each item has
-/// its index in its path. Any other list has its items on one line, separated by commas.
+/// Appends a line for each setting in `value` that is not null. A list with objects has a line `path.count`,
+/// and each item has its index in its path. Any other list has its items on one line, separated by commas.
 fn flatten(value: &Value, path: &str, lines: &mut String) {
     let child = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
     match value {
--- a/src/node/lifecycle/hot_restart.rs
+++ b/src/node/lifecycle/hot_restart.rs
@@ -1,11 +1,11 @@
-//! Hot restart: a new process of a node takes over from the old one. While both run, they stay within the
-//! descriptor limit of the node together.
+//! Hot restart: a new process of a node takes over from the old one. While both run, their descriptors
+//! together stay within the limit of the node.
 //!
 //! Each process increments the start count in the state file when it starts. After a start, the new process
 //! and its predecessor each use at most half of the descriptors. The predecessor closes idle connections
-//! until it is within this limit, and then records in a file that it has released the other half. The
-//! successor becomes ready to serve after the release, or after a timeout: the predecessor may have crashed,
-//! or its version may not support the release.
+//! until it is within this limit or a timeout has passed, and then records in a file that it has released the
+//! other half. The successor becomes ready to serve after the release, or after a timeout: the predecessor
+//! may have crashed, or its version may not support the release.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,15 +17,15 @@
 use crate::state_store::{POLL_INTERVAL, StateStore};
 
 /// How long a process waits until its connections are within the limit before it releases descriptors anyway.
-/// New connections without a request are not closed at once, but within a shorter time than this.
+/// It is longer than the time for which a new connection without a request has to stay open.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long a process waits for its predecessor to release descriptors. The predecessor takes less time than
 /// this, but may no longer be running.
 const AWAIT_RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long the descriptors are shared after the start of a process. One of the two processes has ended by
-/// then: the platform has replaced the older one, or the newer one has failed.
+/// How long the descriptors are shared after the start of a process. One of the two processes ends within
+/// this time: the platform replaces the older one, or the newer one fails.
 const DESCRIPTOR_SHARING_PERIOD: Duration = Duration::from_secs(11);
 
 /// The role of this process in hot restarts, as predecessor and as successor.
--- a/src/node/lifecycle/mod.rs
+++ b/src/node/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! The life cycle of the process: serving, standby, graceful shutdown and hot restart.
+//! The lifecycle of the process: serving, standby, graceful shutdown and hot restart.
 //!
 //! [`Lifecycle`] holds the state: the phase, readiness and the shutdown deadline. Connections, the health
 //! check and the admin API read it. [`HotRestart`] and [`GracefulShutdown`] change it.
@@ -17,8 +17,8 @@
 pub use hot_restart::HotRestart;
 pub use shutdown::GracefulShutdown;
 
-/// How the node treats its clients. Requests are served in all phases. In all phases but `Serving`, each
-/// connection is closed with its next response.
+/// How the node treats its clients. Requests are served in all phases, in `Draining` until the shutdown
+/// deadline. In all phases but `Serving`, each connection is closed with its next response.
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
     Serving,
@@ -33,7 +33,7 @@
 /// The process that takes over in a hot restart.
 #[derive(Clone, Copy, PartialEq)]
 struct Successor {
-    /// Whether operators have put the node into standby, which then applies to the successor.
+    /// Whether the node is in standby, which during the shutdown applies to the successor.
     standby: bool,
 }
 
@@ -48,16 +48,16 @@
     Ready,
 }
 
-/// The operations on downstream connections that the life cycle needs.
+/// The operations on connections that the lifecycle needs.
 pub trait ClientConnections {
-    /// Limits connections to half of the node's descriptors if `shared`, and to all of them otherwise.
-    /// Connections above the limit are closed as soon as they are idle.
+    /// Limits downstream and upstream connections together to half of the node's descriptors if `shared` is
+    /// true, and to all of them otherwise. Connections above the limit are closed as soon as they are idle.
     fn share_descriptors(&self, shared: bool);
 
-    /// Returns whether there are more connections than the limit, including those that are closing.
+    /// Returns whether there are more downstream connections than the limit. Those that are closing count.
     fn exceeds_limit(&self) -> bool;
 
-    /// Closes each connection as soon as it is idle, and waits until all are closed.
+    /// Closes each downstream connection as soon as it is idle, and waits until all are closed.
     async fn drain(&self);
 }
 
@@ -73,7 +73,7 @@
 }
 
 impl Lifecycle {
-    /// Creates the life cycle of a process in the serving phase. It becomes ready once `upstream` has a ready
+    /// Creates the lifecycle of a process in the serving phase. It becomes ready once `upstream` has a ready
     /// endpoint.
     pub fn new(upstream: Rc<UpstreamPool>) -> Lifecycle {
         Lifecycle {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Records that the process may use its part of the node's descriptors.
+    /// Records that the process may use its share of the node's descriptors.
     pub fn mark_descriptors_available(&self) {
         if self.readiness.get() == Readiness::AwaitingDescriptors {
             self.readiness.set(Readiness::AwaitingEndpoint);
@@ -108,8 +108,8 @@
         self.readiness.get() == Readiness::Ready
     }
 
-    /// Returns whether the health check of the load balancer in front succeeds, because the node accepts new
-    /// clients in this process or in its successor.
+    /// Returns whether health checks of the load balancer in front of the nodes succeed: this process is
+    /// ready, and the node accepts new clients in it or in its successor.
     pub fn passes_health_check(&self) -> bool {
         let accepts_clients = match self.phase.get() {
             Phase::Serving | Phase::Draining { successor: Some(Successor { standby: false }) } => true,
@@ -123,7 +123,8 @@
         self.phase.get() == Phase::Serving
     }
 
-    /// Returns whether the node is in standby.
+    /// Returns whether the process is in the standby phase. During the shutdown it is not, even if the node
+    /// is in standby.
     pub fn is_standby(&self) -> bool {
         self.phase.get() == Phase::Standby
     }
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Switches standby on or off.
+    /// Switches standby on or off. During the shutdown, this applies to the successor only.
     pub fn set_standby(&self, standby: bool) {
         self.phase.set(match self.phase.get() {
             Phase::Serving | Phase::Standby if standby => Phase::Standby,
@@ -149,15 +150,15 @@
         self.standby_changed.notify_one();
     }
 
-    /// Waits until the node is in standby.
+    /// Waits until the process is in the standby phase.
     pub async fn wait_for_standby(&self) {
         while !self.is_standby() {
             self.standby_changed.notified().await;
         }
     }
 
-    /// Begins the graceful shutdown: each response closes its connection from now on. `has_successor` says
-    /// whether another process accepts new connections on the same listening socket.
+    /// Begins the graceful shutdown: each response closes its connection from now on. `has_successor` is true
+    /// if another process accepts new connections on the same listening socket.
     fn begin_shutdown(&self, has_successor: bool) {
         let standby = self.is_standby();
         self.phase.set(Phase::Draining { successor: has_successor.then_some(Successor { standby }) });
--- a/src/node/lifecycle/shutdown.rs
+++ b/src/node/lifecycle/shutdown.rs
@@ -1,11 +1,12 @@
 //! Graceful shutdown, from SIGTERM to the exit of the process.
 //!
-//! 1. Unless a successor accepts new connections, this process does so for [`ACCEPT_GRACE_PERIOD`], and then
-//!    accepts those that remain in the backlog. Each response closes its connection, and idle connections are
-//!    closed.
-//! 2. At the shutdown deadline, requests that still wait for a response fail at once, and new requests are
+//! 1. Each response closes its connection. Unless a successor accepts new connections, this process does so
+//!    for [`ACCEPT_GRACE_PERIOD`].
+//! 2. After this period, the process closes idle connections and, unless there is a successor, accepts the
+//!    connections that remain in the backlog.
+//! 3. At the shutdown deadline, requests that still wait for a response fail at once, and new requests are
 //!    rejected.
-//! 3. Responses that have begun may still be transferred. The process exits when the last connection is
+//! 4. Responses that have begun may still be transferred. The process exits when the last connection is
 //!    closed.
 
 use std::pin::pin;
@@ -22,21 +23,27 @@
 /// for 0.2 to 0.4 s.
 const ACCEPT_GRACE_PERIOD: Duration = Duration::from_millis(500);
 
-/// Longest request deadline that the shutdown deadline allows for. According to the protocol, SIGKILL arrives
-/// after SIGTERM no earlier than the longest request deadline, taken as 3 s if it is longer, plus 0.7 s.
+/// Longest request deadline that the shutdown deadline allows for. According to the protocol, the time from
+/// SIGTERM to SIGKILL is at least:
+///
+/// ```text
+/// kill_delay = min(longest_deadline, MAX_REQUEST_DEADLINE) + 0.7 s
+/// ```
+///
+/// `longest_deadline` is the longest deadline of all request classes.
 const MAX_REQUEST_DEADLINE: Duration = Duration::from_secs(3);
 
-/// The part of those 0.7 s in which requests may still wait for their responses. The remaining 0.3 s are for
-/// responding to all requests that still wait then.
+/// The share of those 0.7 s in which requests may still wait for their responses. The remaining 0.3 s are for
+/// responding to all requests that still wait at the shutdown deadline.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(400);
 
 /// How long responses that have begun may continue after the shutdown deadline, for clients that read slowly.
 /// The protocol sets no limit; SIGKILL from the platform does.
 const MAX_TRANSFER_TIME: Duration = Duration::from_secs(60);
 
-/// The parts of the node that have to finish before the process exits.
+/// The graceful shutdown of the process, which begins with [`GracefulShutdown::run`].
 pub struct GracefulShutdown<C> {
-    /// The phase of the process.
+    /// The lifecycle of the process.
     pub lifecycle: Rc<Lifecycle>,
     /// The downstream connections.
     pub connections: Rc<C>,
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -43,7 +43,7 @@
 
 /// Runs the node until it has shut down.
 fn run() -> Result<(), StartError> {
-    // This comes before anything that opens a descriptor, which could get the number of the inherited one.
+    // This comes first: a descriptor that is opened earlier could get the number of the inherited one.
     let inherited = inherited_listener::from_environment()?;
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartError::Runtime)?;
--- a/src/node/state_store/admin_state.rs
+++ b/src/node/state_store/admin_state.rs
@@ -14,8 +14,8 @@
 /// Version of the format. Files of other versions are ignored, since their fields are unknown.
 const FORMAT_VERSION: u32 = 1;
 
-/// How long the time at which an endpoint left maintenance is kept. No endpoint's slow start takes longer, so
-/// the time has no effect afterwards.
+/// Minimum time for which the time of an endpoint's exit from maintenance is kept. It is expected to exceed
+/// every slow start, after which the time of the exit has no effect.
 const EXIT_TIME_RETENTION: Duration = Duration::from_secs(600);
 
 /// The state that operators have set through the admin API, and the number of process starts.
@@ -30,8 +30,8 @@
     pub standby: bool,
     /// The uids of the endpoints in maintenance.
     pub maintenance: BTreeSet<String>,
-    /// The times at which endpoints left maintenance, by uid, in microseconds of Unix time. Entries are kept
-    /// for as long as the slow start of an endpoint may take.
+    /// The times at which endpoints exited maintenance, by uid, in microseconds of Unix time. Times that are
+    /// at least [`EXIT_TIME_RETENTION`] old are removed when an endpoint exits maintenance.
     #[serde(rename = "returned")]
     pub exited_at: BTreeMap<String, u64>,
 }
@@ -43,14 +43,14 @@
         self.process_starts
     }
 
-    /// Puts an endpoint into maintenance.
+    /// Registers that an endpoint enters maintenance.
     pub fn enter_maintenance(&mut self, uid: String) {
         self.exited_at.remove(&uid);
         self.maintenance.insert(uid);
     }
 
-    /// Takes an endpoint out of maintenance at `now`, in Unix time. A second call changes nothing: the slow
-    /// start of the endpoint begins with the first one.
+    /// Registers that an endpoint exits maintenance at `now`, in Unix time. A second call changes nothing:
+    /// the slow start of the endpoint begins with the first one.
     pub fn exit_maintenance(&mut self, uid: &str, now: Timestamp) {
         if self.maintenance.remove(uid) {
             let age = |exited_at| now.saturating_duration_since(Timestamp::from_micros(exited_at));
--- a/src/node/state_store/error.rs
+++ b/src/node/state_store/error.rs
@@ -12,13 +12,13 @@
     /// The file cannot be read.
     #[error("cannot read the state file")]
     Read(#[source] io::Error),
-    /// The file is not valid JSON, lacks a field, or has an unknown field.
+    /// The file is not valid JSON, or a field is missing, unknown or of the wrong type.
     #[error("the state file is malformed")]
     Malformed(#[source] serde_json::Error),
     /// The file has another version of the format.
     #[error("the state file has format version {found}, but only version {supported} is supported")]
     UnsupportedVersion {
-        /// The version that the file names.
+        /// The version of the file.
         found: u32,
         /// The version that this program reads and writes.
         supported: u32,
--- a/src/node/state_store/mod.rs
+++ b/src/node/state_store/mod.rs
@@ -64,8 +64,8 @@
 }
 
 impl StateStore {
-    /// Opens the state file of the node `name` in `folder`. If the file does not exist or cannot be read, the
-    /// state is the default one.
+    /// Opens the state file of the node `name` in `folder`. If the file does not exist, or cannot be read or
+    /// decoded, the state is the default one.
     pub fn open(folder: &Path, name: &str) -> StateStore {
         let replace_special_char = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
         let file_name: String = name.chars().map(replace_special_char).collect();
@@ -104,7 +104,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be locked within 400 ms or cannot be written. The state is unchanged then.
+    /// Fails if the file cannot be locked within 400 ms or cannot be written. The state is unchanged in that
+    /// case.
     pub async fn update(&self, change: impl FnOnce(&mut AdminState)) -> Result<(), StateError> {
         let _lock = self.lock().await?;
         // There is no await from here to the rename, and the lock is held: no other task and no other process
@@ -151,13 +152,13 @@
 }
 
 /// The release of descriptors to a successor is recorded in a separate file: older versions of the program,
-/// which do not know of it, have to be able to read the state file.
+/// which have no field for it, have to be able to read the state file.
 impl StateStore {
     fn release_path(&self) -> PathBuf {
         self.path.with_extension("given-way")
     }
 
-    /// Records that descriptors of the node were released to the process with this start number.
+    /// Records that this process has released descriptors to the process with this start number.
     pub fn release_descriptors(&self, start_number: u64) {
         // If this fails, the successor stops waiting after a timeout.
         let _ = fs::write(self.release_path(), start_number.to_string());
--- a/tests/node/admin.rs
+++ b/tests/node/admin.rs
@@ -70,7 +70,7 @@
     for _ in 0..5 {
         let started = Instant::now();
         assert_eq!(node.admin_request("GET", "/status", "").status(), 200);
-        // The admin API has to respond within 1 s. An idle machine takes a thousandth of the bound of 2 s.
+        // The admin API has to respond within 1 s, and does within about 2 ms on an idle machine.
         assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
     }
     assert!(node.open_descriptors() <= 64, "{} descriptors", node.open_descriptors());
--- a/tests/node/hot_restart.rs
+++ b/tests/node/hot_restart.rs
@@ -27,7 +27,7 @@
     let new = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
     wait_until("the successor can serve", || new.admin_request("GET", "/status", "").status() == 200);
     old.terminate();
-    // To the load balancer in front, both processes are one node, which keeps serving.
+    // To the load balancer in front of the nodes, both processes are one node, which keeps serving.
     wait_until("the old process is draining", || {
         let response = old.admin_request("GET", "/status", "");
         String::from_utf8_lossy(&response.body).contains("leaving")
@@ -113,7 +113,7 @@
         new.admin_request("GET", "/status", "").status() == 200
     });
     assert_eq!(new.admin_status(), json!({"phase": "standby", "able": true, "maintenance": ["a"]}));
-    // A command to the new process applies to the old one by the time of its response.
+    // When the new process responds to a command, the old one has applied it too.
     assert_eq!(new.admin_request("POST", "/active", "").status(), 200);
     assert_eq!((new.set_maintenance("exit", "a"), new.set_maintenance("enter", "b")), (200, 200));
     assert_eq!(old.admin_status(), json!({"phase": "serving", "able": true, "maintenance": ["b"]}));
--- a/tests/node/reload.rs
+++ b/tests/node/reload.rs
@@ -42,8 +42,8 @@
     assert_eq!(node.client().exchange(&view_request()).body, b"slip");
 }
 
-/// When endpoint lists are polled, failed polls increase the backoff; a new address is polled without waiting
-/// for it.
+/// When endpoint lists are polled, failed polls increase the backoff. A new address is polled at once,
+/// without waiting for the backoff to end.
 #[test]
 fn polling_switches_to_a_new_discovery_address_at_once() {
     let upstream = UpstreamServer::new(|_, _| ok("known"));
--- a/tests/node/standby.rs
+++ b/tests/node/standby.rs
@@ -34,14 +34,15 @@
         assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     }
     assert!(idle.is_closed() && kept.is_closed() && late.is_closed());
-    // An idle connection closes after 2.5 s even without standby; the load balancer in front waits for 4 s.
+    // An idle connection closes after 2.5 s even without standby; the load balancer in front of the nodes
+    // waits for 4 s.
     assert!(draining_since.elapsed() < Duration::from_millis(1800), "{:?}", draining_since.elapsed());
     assert_eq!(busy.receive().body, b"slip");
     assert!(busy.is_closed());
     assert_eq!(node.admin_request("POST", "/active", "").status(), 200);
     assert_eq!(node.health(), 200);
     assert_eq!(node.client().exchange(&view_request()).header("connection"), None);
-    // A return to service before the node is drained keeps open connections.
+    // Connections stay open if standby ends before the node is drained.
     let mut reused = node.client();
     assert_eq!(reused.exchange(&view_request()).status(), 200);
     assert_eq!(node.admin_request("POST", "/standby", "").status(), 200);
--- a/tests/node/startup.rs
+++ b/tests/node/startup.rs
@@ -21,7 +21,7 @@
         let line = expect_startup_error(spawn_with_config(&config(field, address.clone().into())));
         assert_eq!(
             line,
-            format!("cannot listen on {field} address {address}: Address already in use (os error 98)")
+            format!("cannot listen on {address} ({field}): Address already in use (os error 98)")
         );
     }
     let path = write_config(&config("seed", 3.into()));
--- a/tests/node/version_upgrade.rs
+++ b/tests/node/version_upgrade.rs
@@ -12,7 +12,7 @@
 
 use crate::support::*;
 
-/// Descriptors of the node, few enough that both processes reach their limits.
+/// Number of descriptors of the node. It is so low that both processes reach their limits.
 const SOCKETS: usize = 160;
 
 /// Number of connections that send requests while one process takes over from the other.
@@ -20,7 +20,7 @@
 
 /// Name of the state file.
 const STATE_FILE_NAME: &str = "dunelink-n0.json";
-/// A state file as written by the program at dd85554.
+/// A state file as written by the program at commit dd85554.
 const PREVIOUS_STATE_FILE: &str = r#"{"version":1,"orders":{"starts":3,"standby":true,"maintenance":["a","b"],"returned":{"c":1764680000000000}}}"#;
 
 #[test]
--- a/tests/support/command.rs
+++ b/tests/support/command.rs
@@ -29,13 +29,13 @@
     command
 }
 
-/// Returns a command for the program under test that inherits a listening socket as descriptor 5.
+/// Returns a command for the program under test that inherits `socket` as descriptor 5.
 pub fn command_with_inherited_socket(socket: &impl AsFd) -> Command {
     program_with_inherited_socket(env!("CARGO_BIN_EXE_mothspool").as_ref(), socket)
 }
 
-/// Returns a command for `program`, which may be another version of the node, that inherits a listening
-/// socket as descriptor 5.
+/// Returns a command for `program`, which may be another version of the node, that inherits `socket` as
+/// descriptor 5.
 pub fn program_with_inherited_socket(program: &Path, socket: &impl AsFd) -> Command {
     let mut shell = Command::new("sh");
     shell.args(["-c", "exec \"$0\" 5<&0 0</dev/null"]).arg(program);
--- a/tests/support/connection.rs
+++ b/tests/support/connection.rs
@@ -34,7 +34,7 @@
         Message::read(&mut self.reader)
     }
 
-    /// Returns the next message.
+    /// Returns the next message, and panics if no complete one arrives.
     pub fn receive(&mut self) -> Message {
         self.try_receive().expect("no complete message has arrived")
     }
--- a/tests/support/node.rs
+++ b/tests/support/node.rs
@@ -180,7 +180,7 @@
         self.admin_request("POST", &format!("/maintenance/{change}"), &body).status()
     }
 
-    /// Returns the status code of the node's answer to a health check.
+    /// Returns the status code of the node's response to a health check.
     pub fn health(&self) -> u16 {
         self.client().exchange(HEALTH_REQUEST).status()
     }
@@ -215,7 +215,7 @@
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Lowers the process's descriptor limit so that it can open no more.
+    /// Lowers the descriptor limit of the process so that it can open no more descriptors.
     pub fn exhaust_descriptors(&self) {
         let is_open = |n: &usize| Path::new(&format!("/proc/{}/fd/{n}", self.child.id())).is_symlink();
         let lowest_free = (0..).find(|n| !is_open(n)).unwrap();
--- a/tests/support/requests.rs
+++ b/tests/support/requests.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Health check as the load balancer in front of the node sends it.
+/// Health check as the load balancer in front of the nodes sends it.
 pub const HEALTH_REQUEST: &[u8] = b"GET /_health HTTP/1.1\r\nHost: n\r\n\r\n";
 
 /// Returns a request to the admin API.
--- a/tests/unit/hot_restart.rs
+++ b/tests/unit/hot_restart.rs
@@ -3,9 +3,10 @@
 use super::*;
 use crate::unit_support::{TempFolder, upstream_pool};
 
-/// Connections that exceed their limit as the test says, and record whether descriptors are shared.
+/// Stand-in for the connections. The test sets whether they exceed their limit.
 #[derive(Default)]
 struct FakeConnections {
+    /// Whether descriptors are shared, as last set by the process.
     shared: Cell<bool>,
     exceeds_limit: Cell<bool>,
 }
@@ -33,7 +34,7 @@
     [(); N].map(register)
 }
 
-/// Polls the state file once, at this time.
+/// Polls the state file once, and performs the actions that are due at `now`.
 fn poll(process: &mut HotRestart<FakeConnections>, now: Instant) {
     process.store.refresh();
     process.step(now);
--- a/tests/unit/lifecycle.rs
+++ b/tests/unit/lifecycle.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::unit_support::upstream_pool;
 
-/// Returns the life cycle of a process that is ready.
+/// Returns the lifecycle of a process that is ready.
 fn ready_lifecycle() -> Lifecycle {
     let lifecycle = Lifecycle::new(upstream_pool());
     lifecycle.readiness.set(Readiness::Ready);
