--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -52,7 +52,7 @@
 
 /// Serves until SIGTERM, and then shuts down gracefully.
 async fn serve(inherited: Option<std::net::TcpListener>) -> Result<(), StartError> {
-    let Signals { hang_up, mut terminate } = Signals::handle()?;
+    let Signals { hang_up, mut terminate } = Signals::install()?;
     let shutdown = startup::start(inherited, hang_up).await?;
     terminate.recv().await;
     shutdown.run().await;
--- a/src/node/startup/mod.rs
+++ b/src/node/startup/mod.rs
@@ -43,12 +43,12 @@
 }
 
 impl Signals {
-    /// Installs the handlers. Without them, each of the signals ends the process.
-    pub fn handle() -> Result<Signals, StartError> {
-        let handle = |name, kind| signal(kind).map_err(|source| StartError::Signal { name, source });
+    /// Installs handlers of the signals. Without them, each of the signals ends the process.
+    pub fn install() -> Result<Signals, StartError> {
+        let install = |name, kind| signal(kind).map_err(|source| StartError::Signal { name, source });
         Ok(Signals {
-            hang_up: handle("SIGHUP", SignalKind::hangup())?,
-            terminate: handle("SIGTERM", SignalKind::terminate())?,
+            hang_up: install("SIGHUP", SignalKind::hangup())?,
+            terminate: install("SIGTERM", SignalKind::terminate())?,
         })
     }
 }
--- a/tests/node/hot_restart.rs
+++ b/tests/node/hot_restart.rs
@@ -56,7 +56,8 @@
     upstream.next_request();
     old.terminate();
     wait_until("the old process is draining", || old.admin_status()["phase"] == "leaving");
-    // The old process still has an active request but accepts no connections, and its exit resets none.
+    // The old process still has an active request but accepts no connections. Its exit does not reset those
+    // in the backlog.
     let mut waiting = old.client();
     waiting.send(&view_request());
     assert_eq!(busy.receive().body, b"slip");
@@ -164,7 +165,7 @@
     let targets: Vec<Value> = (0..12).map(|n| ready_endpoint(&format!("s{n}"), &upstream)).collect();
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
     let old = Node::with_inherited_listener_and_sockets(&targets, &listener, &state_dir, SOCKETS);
-    // A third of the descriptors are used by clients with active requests, and 100 more by idle clients.
+    // Clients with active requests use a third of the descriptors, and 100 idle clients connect below.
     let mut busy: Vec<Connection> = (0..SOCKETS / 3).map(|_| old.client()).collect();
     busy.iter_mut().for_each(|client| client.send(&request("POST", "/order/1", "14", "", "yen")));
     wait_until("12 requests are at endpoints", || upstream.request_count() >= 12);
--- a/tests/node/shutdown.rs
+++ b/tests/node/shutdown.rs
@@ -19,7 +19,7 @@
     })
 }
 
-/// Number of client connections of a node with 36 sockets when each has a request without a response.
+/// Maximum number of client connections of a node with 36 descriptors, if each has an open request.
 const MAX_CLIENT_CONNECTIONS: usize = 6;
 
 /// Time from SIGTERM to SIGKILL.
--- a/tests/support/node.rs
+++ b/tests/support/node.rs
@@ -174,7 +174,8 @@
         serde_json::from_slice(&response.body).expect(&response.start_line)
     }
 
-    /// Sends `enter` or `exit` of maintenance for an endpoint, and returns the status code of the response.
+    /// Has an endpoint enter or exit maintenance, and returns the status code of the response. `change` is
+    /// `enter` or `exit`.
     pub fn set_maintenance(&self, change: &str, uid: &str) -> u16 {
         let body = json!({ "host": uid }).to_string();
         self.admin_request("POST", &format!("/maintenance/{change}"), &body).status()
--- a/tests/support/requests.rs
+++ b/tests/support/requests.rs
@@ -40,8 +40,7 @@
     .into_bytes()
 }
 
-/// Sleeps for far longer than an upstream connection has to be idle after a response before the node reuses
-/// it.
+/// Sleeps for 200 ms. An upstream connection is reused after a far shorter idle time.
 pub fn pause_before_reuse() {
     thread::sleep(Duration::from_millis(200));
 }
