--- a/src/node/config/error.rs
+++ b/src/node/config/error.rs
@@ -36,7 +36,7 @@
     /// The file cannot be read.
     #[error("cannot read the configuration file")]
     Read(#[from] io::Error),
-    /// The file is not JSON, or a field is missing or has the wrong type. The source names the field, line
+    /// The file is not JSON, or a field is missing or has the wrong type. The message names the field, line
     /// and column.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
@@ -48,8 +48,8 @@
         /// The cause.
         source: AddressError,
     },
-    /// A value in `settings` has the wrong type, or is none of the values that its setting allows. The source
-    /// names the setting and the value.
+    /// A value in `settings` has the wrong type, or is none of the values that its setting allows. The
+    /// message names the setting and the value.
     #[error(transparent)]
     SettingsFormat(#[from] SettingsFormatError),
     /// A value in `settings` is out of range or inconsistent with the others.
--- a/src/node/config/limits.rs
+++ b/src/node/config/limits.rs
@@ -18,8 +18,8 @@
 /// Smallest and largest size of a connection's buffer for one direction. hyper accepts no smaller buffer, and
 /// a larger one has no benefit.
 const CONNECTION_BUFFER_BYTES: RangeInclusive<usize> = 8 << 10..=32 << 10;
-/// Memory of a connection in addition to its buffers: hyper's buffers for heads and for requests on their way
-/// to it, and the tasks that serve the connection.
+/// Memory of a connection in addition to its buffers: hyper's buffers for heads and for requests that are not
+/// sent yet, and the tasks that serve the connection.
 const CONNECTION_OVERHEAD_BYTES: usize = 20 << 10;
 /// Memory of the program itself, including endpoint lists of several hundred entries.
 const PROGRAM_MEMORY_BYTES: usize = 5 << 20;
--- a/src/node/lifecycle/shutdown.rs
+++ b/src/node/lifecycle/shutdown.rs
@@ -51,7 +51,7 @@
     pub accept_task: JoinHandle<()>,
     /// Tells `accept_task` to accept the connections in the backlog and to end.
     pub stop_accepting: Rc<Notify>,
-    /// Whether another process of the node has the listening socket.
+    /// Whether another process of the node has the listening socket or will get it.
     pub has_successor: bool,
     /// Longest deadline of a request.
     pub longest_deadline: Duration,
--- a/src/node/startup/mod.rs
+++ b/src/node/startup/mod.rs
@@ -76,7 +76,8 @@
 /// The components of the node that are needed to start serving its listeners.
 struct Node {
     config: Rc<Config>,
-    /// Whether the listener was inherited, so that another process of the node may have it as well.
+    /// Whether the listener was inherited, so that another process of the node may have it as well, now or
+    /// later.
     shares_listener: bool,
     lifecycle: Rc<Lifecycle>,
     downstream: Rc<DownstreamServer>,
--- a/tests/node/reload.rs
+++ b/tests/node/reload.rs
@@ -18,7 +18,7 @@
     node.reload_config("{\"name\": 3}");
     watch.send_delta(58, &[endpoint_entry("a", one.address, 1, "draining"), ready_endpoint("b", &two)]);
     while node.client().exchange(&view_request()).status() != 200 {}
-    // The first request is still active, with its endpoint and its client.
+    // The first request is still active at its endpoint, which is draining.
     let new_discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     node.reload_config(&node.config_with_discovery(&new_discovery));
     let mut moved = Watch::accept(&new_discovery);
--- a/tests/node/version_upgrade.rs
+++ b/tests/node/version_upgrade.rs
@@ -48,7 +48,7 @@
     assert_eq!(files, [STATE_FILE_NAME, "dunelink-n0.lock"]);
 }
 
-/// The load of the clients, and what they have received.
+/// Load from clients: the flag that stops it, and counts of its requests.
 #[derive(Default)]
 struct Load {
     stop: AtomicBool,
