--- a/src/node/startup/mod.rs
+++ b/src/node/startup/mod.rs
@@ -43,12 +43,12 @@
 }
 
 impl Signals {
-    /// Installs the handlers. Without them, each of the signals ends the process.
-    pub fn handle() -> Result<Signals, StartError> {
-        let handle = |name, kind| signal(kind).map_err(|source| StartError::Signal { name, source });
+    /// Installs handlers of the signals. Without them, each of the signals ends the process.
+    pub fn install() -> Result<Signals, StartError> {
+        let install = |name, kind| signal(kind).map_err(|source| StartError::Signal { name, source });
         Ok(Signals {
-            hang_up: handle("SIGHUP", SignalKind::hangup())?,
-            terminate: handle("SIGTERM", SignalKind::terminate())?,
+            hang_up: install("SIGHUP", SignalKind::hangup())?,
+            terminate: install("SIGTERM", SignalKind::terminate())?,
         })
     }
 }
@@ -76,7 +76,8 @@
 /// The components of the node that are needed to start serving its listeners.
 struct Node {
     config: Rc<Config>,
-    /// Whether the listener was inherited, so that another process of the node may have it as well.
+    /// Whether the listener was inherited, so that another process of the node may have it as well, now or
+    /// later.
     shares_listener: bool,
     lifecycle: Rc<Lifecycle>,
     downstream: Rc<DownstreamServer>,
--- a/tests/node/reload.rs
+++ b/tests/node/reload.rs
@@ -18,7 +18,7 @@
     node.reload_config("{\"name\": 3}");
     watch.send_delta(58, &[endpoint_entry("a", one.address, 1, "draining"), ready_endpoint("b", &two)]);
     while node.client().exchange(&view_request()).status() != 200 {}
-    // The first request is still active, with its endpoint and its client.
+    // The first request is still active at its endpoint, which is draining.
     let new_discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     node.reload_config(&node.config_with_discovery(&new_discovery));
     let mut moved = Watch::accept(&new_discovery);
@@ -42,8 +42,8 @@
     assert_eq!(node.client().exchange(&view_request()).body, b"slip");
 }
 
-/// When endpoint lists are polled, failed polls increase the backoff; a new address is polled without waiting
-/// for it.
+/// When endpoint lists are polled, failed polls increase the backoff. A new address is polled at once,
+/// without waiting for the backoff to end.
 #[test]
 fn polling_switches_to_a_new_discovery_address_at_once() {
     let upstream = UpstreamServer::new(|_, _| ok("known"));
--- a/tests/node/version_upgrade.rs
+++ b/tests/node/version_upgrade.rs
@@ -12,7 +12,7 @@
 
 use crate::support::*;
 
-/// Descriptors of the node, few enough that both processes reach their limits.
+/// Number of descriptors of the node. It is so low that both processes reach their limits.
 const SOCKETS: usize = 160;
 
 /// Number of connections that send requests while one process takes over from the other.
@@ -20,7 +20,7 @@
 
 /// Name of the state file.
 const STATE_FILE_NAME: &str = "dunelink-n0.json";
-/// A state file as written by the program at dd85554.
+/// A state file as written by the program at commit dd85554.
 const PREVIOUS_STATE_FILE: &str = r#"{"version":1,"orders":{"starts":3,"standby":true,"maintenance":["a","b"],"returned":{"c":1764680000000000}}}"#;
 
 #[test]
@@ -40,15 +40,15 @@
     assert_eq!(node.set_maintenance("exit", "b"), 200);
     let written = fs::read_to_string(&path).unwrap();
     let prefix = r#"{"version":1,"orders":{"starts":4,"standby":false,"maintenance":["a"],"returned":{"b":"#;
-    let returned_at = written.strip_prefix(prefix).and_then(|rest| rest.strip_suffix("}}}")).expect(&written);
-    assert!(returned_at.parse::<u64>().is_ok_and(|micros| micros > 1_764_680_000_000_000), "{written}");
+    let exited_at = written.strip_prefix(prefix).and_then(|rest| rest.strip_suffix("}}}")).expect(&written);
+    assert!(exited_at.parse::<u64>().is_ok_and(|micros| micros > 1_764_680_000_000_000), "{written}");
     let files = fs::read_dir(&state_dir).unwrap().map(|entry| entry.unwrap().file_name());
     let mut files: Vec<String> = files.map(|name| name.into_string().unwrap()).collect();
     files.sort();
     assert_eq!(files, [STATE_FILE_NAME, "dunelink-n0.lock"]);
 }
 
-/// The load of the clients, and what they have received.
+/// Load from clients: the flag that stops it, and counts of its requests.
 #[derive(Default)]
 struct Load {
     stop: AtomicBool,
--- a/tests/support/node.rs
+++ b/tests/support/node.rs
@@ -17,18 +17,18 @@
 struct Launch {
     command: Command,
     sockets: usize,
-    admin: bool,
+    has_admin_api: bool,
 }
 
 impl Launch {
     fn new(command: Command) -> Launch {
-        Launch { command, sockets: DEFAULT_SOCKETS, admin: false }
+        Launch { command, sockets: DEFAULT_SOCKETS, has_admin_api: false }
     }
 
     /// Returns parameters for a node with the admin API and this directory for the state file.
     fn with_admin(mut command: Command, state_dir: &Path, sockets: usize) -> Launch {
         command.env("TMPDIR", state_dir);
-        Launch { command, sockets, admin: true }
+        Launch { command, sockets, has_admin_api: true }
     }
 
     /// Starts the node and discards its log, so that a full pipe never blocks the node.
@@ -49,7 +49,7 @@
             "discovery": discovery.local_addr().unwrap().to_string(),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
             "known": list_message(41, true, endpoints), "settings": settings()});
-        if self.admin {
+        if self.has_admin_api {
             config["operator"] = "127.0.0.1:0".into();
         }
         change(&mut config);
@@ -63,7 +63,7 @@
             line.trim().rsplit(' ').next().unwrap().parse().expect(&line)
         };
         let address = read_logged_address();
-        let admin = self.admin.then(read_logged_address);
+        let admin = self.has_admin_api.then(read_logged_address);
         (Node { address, admin, discovery, config, path, child }, log)
     }
 }
@@ -174,13 +174,14 @@
         serde_json::from_slice(&response.body).expect(&response.start_line)
     }
 
-    /// Sends `enter` or `exit` of maintenance for an endpoint, and returns the status code of the response.
+    /// Has an endpoint enter or exit maintenance, and returns the status code of the response. `change` is
+    /// `enter` or `exit`.
     pub fn set_maintenance(&self, change: &str, uid: &str) -> u16 {
         let body = json!({ "host": uid }).to_string();
         self.admin_request("POST", &format!("/maintenance/{change}"), &body).status()
     }
 
-    /// Returns the status code of the node's answer to a health check.
+    /// Returns the status code of the node's response to a health check.
     pub fn health(&self) -> u16 {
         self.client().exchange(HEALTH_REQUEST).status()
     }
@@ -215,7 +216,7 @@
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Lowers the process's descriptor limit so that it can open no more.
+    /// Lowers the descriptor limit of the process so that it can open no more descriptors.
     pub fn exhaust_descriptors(&self) {
         let is_open = |n: &usize| Path::new(&format!("/proc/{}/fd/{n}", self.child.id())).is_symlink();
         let lowest_free = (0..).find(|n| !is_open(n)).unwrap();
--- a/tests/support/requests.rs
+++ b/tests/support/requests.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Health check as the load balancer in front of the node sends it.
+/// Health check as the load balancer in front of the nodes sends it.
 pub const HEALTH_REQUEST: &[u8] = b"GET /_health HTTP/1.1\r\nHost: n\r\n\r\n";
 
 /// Returns a request to the admin API.
@@ -40,8 +40,7 @@
     .into_bytes()
 }
 
-/// Sleeps for far longer than an upstream connection has to be idle after a response before the node reuses
-/// it.
+/// Sleeps for 200 ms. An upstream connection is reused after a far shorter idle time.
 pub fn pause_before_reuse() {
     thread::sleep(Duration::from_millis(200));
 }
