--- a/src/node/discovery/records.rs
+++ b/src/node/discovery/entries.rs
@@ -1,11 +1,11 @@
-//! Conversion of the records of endpoint lists to the form that the balancer uses.
+//! Conversion of the entries of endpoint lists to the form that the balancer uses.
 
 use std::collections::HashMap;
 
 use mothspool::{EndpointInfo, EndpointState, Timestamp};
 
 use crate::config::Config;
-use crate::protocol::endpoint_list::{EndpointRecord, RecordState, endpoint_id};
+use crate::protocol::endpoint_list::{EndpointEntry, EntryState, endpoint_id};
 use crate::upstream::ListedEndpoint;
 
 const MICROS_PER_MILLI: u64 = 1000;
@@ -36,36 +36,36 @@
     }
 }
 
-/// Converts records, and keeps the indices of the zones and machine types in them.
-pub(super) struct RecordConverter {
+/// Converts entries, and keeps the indices of the zones and machine types in them.
+pub(super) struct EntryConverter {
     zones: Interner,
     machine_types: Interner,
 }
 
-impl RecordConverter {
+impl EntryConverter {
     /// Creates a converter that uses the indices of zones and machine types in the settings.
-    pub(super) fn new(config: &Config) -> RecordConverter {
-        RecordConverter {
+    pub(super) fn new(config: &Config) -> EntryConverter {
+        EntryConverter {
             zones: Interner::new(&config.zones),
             machine_types: Interner::new(&config.machine_types),
         }
     }
 
-    /// Returns the endpoint that a record describes.
-    pub(super) fn convert(&mut self, record: &EndpointRecord) -> ListedEndpoint {
+    /// Returns the endpoint that an entry describes.
+    pub(super) fn convert(&mut self, entry: &EndpointEntry) -> ListedEndpoint {
         let info = EndpointInfo {
-            id: endpoint_id(&record.uid),
-            state: match record.state {
-                RecordState::Ready => EndpointState::Ready,
-                RecordState::Draining => EndpointState::Draining,
-                RecordState::Gone => EndpointState::Gone,
+            id: endpoint_id(&entry.uid),
+            state: match entry.state {
+                EntryState::Ready => EndpointState::Ready,
+                EntryState::Draining => EndpointState::Draining,
+                EntryState::Gone => EndpointState::Gone,
             },
-            started_at: Timestamp::from_micros(record.started_at_ms.saturating_mul(MICROS_PER_MILLI)),
-            zone: self.zones.intern(&record.zone),
-            cell: record.cell,
-            weight: record.weight.max(0.0),
-            machine_type: self.machine_types.intern(&record.machine_type),
+            started_at: Timestamp::from_micros(entry.started_at_ms.saturating_mul(MICROS_PER_MILLI)),
+            zone: self.zones.intern(&entry.zone),
+            cell: entry.cell,
+            weight: entry.weight.max(0.0),
+            machine_type: self.machine_types.intern(&entry.machine_type),
         };
-        ListedEndpoint { info, address: record.address }
+        ListedEndpoint { info, address: entry.address }
     }
 }
--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -1,8 +1,8 @@
 //! Discovery: receives endpoint lists on a watch and passes them to the engine.
 
 mod backoff;
+mod entries;
 mod parser;
-mod records;
 mod watch;
 
 use std::convert::Infallible;
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, timeout};
 
 use self::backoff::Backoff;
-use self::records::RecordConverter;
+use self::entries::EntryConverter;
 use self::watch::{Watch, WatchError};
 use crate::config::Config;
 use crate::engine::{EngineHandle, ListKind};
@@ -63,7 +63,7 @@
 /// State that is kept from one watch to the next.
 struct DiscoveryClient {
     engine: EngineHandle,
-    converter: RecordConverter,
+    converter: EntryConverter,
     /// Revision of the endpoint list that the engine has.
     revision: u64,
     backoff: Backoff,
@@ -73,7 +73,7 @@
     fn new(config: &Config, engine: EngineHandle) -> DiscoveryClient {
         DiscoveryClient {
             engine,
-            converter: RecordConverter::new(config),
+            converter: EntryConverter::new(config),
             revision: config.cached_list.revision,
             backoff: Backoff::new(config.seed),
         }
@@ -101,7 +101,7 @@
 
     /// Passes an endpoint list to the engine.
     fn publish(&mut self, list: &EndpointList, kind: ListKind) {
-        let endpoints = list.records.iter().map(|record| self.converter.convert(record)).collect();
+        let endpoints = list.entries.iter().map(|entry| self.converter.convert(entry)).collect();
         self.engine.update_endpoints(kind, endpoints);
     }
 
--- a/src/node/protocol/endpoint_list.rs
+++ b/src/node/protocol/endpoint_list.rs
@@ -27,21 +27,21 @@
 #[derive(Default, Deserialize)]
 #[serde(expecting = "an endpoint list")]
 pub struct EndpointList {
-    /// Revision of the endpoint list after these records are applied; increases with each change.
+    /// Revision of the endpoint list after these entries are applied; increases with each change.
     #[serde(rename = "rev", deserialize_with = "field::rev")]
     pub revision: u64,
     /// Whether the list names all endpoints. Otherwise it is a delta, which names the changed endpoints.
     #[serde(rename = "all", deserialize_with = "field::all")]
     pub is_snapshot: bool,
-    /// Records of the list, one for each endpoint.
+    /// Entries of the list, one for each endpoint.
     #[serde(rename = "targets", deserialize_with = "field::targets")]
-    pub records: Vec<EndpointRecord>,
+    pub entries: Vec<EndpointEntry>,
 }
 
-/// A record of an endpoint list.
+/// An entry of an endpoint list.
 #[derive(Deserialize)]
 #[serde(expecting = "an endpoint")]
-pub struct EndpointRecord {
+pub struct EndpointEntry {
     /// Name of the endpoint, the same at each node and after a restart of the endpoint.
     #[serde(deserialize_with = "field::uid")]
     pub uid: String,
@@ -59,7 +59,7 @@
     pub cell: Option<u16>,
     /// Whether the endpoint accepts requests.
     #[serde(deserialize_with = "field::state")]
-    pub state: RecordState,
+    pub state: EntryState,
     /// Size of the endpoint relative to other endpoints; 0 if unknown.
     #[serde(default, rename = "capacity_hint", deserialize_with = "field::capacity_hint")]
     pub weight: f64,
@@ -71,7 +71,7 @@
 /// State of an endpoint in an endpoint list.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum RecordState {
+pub enum EntryState {
     /// The endpoint accepts requests.
     Ready,
     /// The endpoint finishes its requests and should get no new ones.
--- a/src/node/upstream/endpoints.rs
+++ b/src/node/upstream/endpoints.rs
@@ -69,7 +69,7 @@
         self.apply(list, HashSet::new());
     }
 
-    /// Applies the records of a list, and then removes the endpoints that are not ready, because no requests
+    /// Applies the entries of a list, and then removes the endpoints that are not ready, because no requests
     /// are sent to them. `unready` contains the endpoints that are not ready unless the list says otherwise.
     fn apply(&mut self, list: impl Iterator<Item = ListedEndpoint>, mut unready: HashSet<EndpointId>) {
         for endpoint in list {
--- a/tests/unit/endpoint_directory.rs
+++ b/tests/unit/endpoint_directory.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn applies_the_last_record_of_an_endpoint() {
+fn applies_the_last_entry_of_an_endpoint() {
     let mut directory = directory_with_two_endpoints();
     let draining = listed_endpoint(1, EndpointState::Draining, 81, 10);
     directory.apply_snapshot(
