--- a/src/node/downstream/connection.rs
+++ b/src/node/downstream/connection.rs
@@ -123,7 +123,7 @@
     /// Returns the time by which the request head that is being received has to be complete.
     fn head_deadline(&self) -> Option<Instant> {
         self.idle_since.get()?;
-        let deadline = self.observer.head_since()? + REQUEST_TIMEOUT;
+        let deadline = self.observer.head_started_at()? + REQUEST_TIMEOUT;
         Some(match self.is_first_request_pending() {
             true => deadline.min(self.accepted_at + FIRST_HEAD_TIMEOUT),
             false => deadline,
--- a/src/node/net/downstream_socket.rs
+++ b/src/node/net/downstream_socket.rs
@@ -46,7 +46,7 @@
     }
 
     /// Returns the time at which the head of the current request began to arrive, if the head is incomplete.
-    pub fn head_since(&self) -> Option<Instant> {
+    pub fn head_started_at(&self) -> Option<Instant> {
         self.framer.borrow().head_started_at()
     }
 
