--- a/src/node/body/budget.rs
+++ b/src/node/body/budget.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// Buffer that receives a body. It allocates no more memory than it has reserved.
+/// Buffer that receives a body. Its capacity never exceeds its reservation.
 pub struct BodyBuffer {
     bytes: BytesMut,
     reservation: BufferReservation,
@@ -103,16 +103,17 @@
     }
 }
 
-/// The part of a body that was read before the body turned out to be too large to be buffered.
+/// The part of a body that was read before it was known that the body is streamed: it exceeds its
+/// reservation, or nothing could be reserved.
 #[derive(Default)]
 pub struct BufferedPrefix {
     buffered: Option<(Bytes, BufferReservation)>,
-    /// The piece that exceeded the reservation.
+    /// The first piece that was not buffered.
     overflow: Option<Bytes>,
 }
 
 impl BufferedPrefix {
-    /// Creates a prefix of what was buffered, if anything, and the piece that exceeded the reservation.
+    /// Creates a prefix of what was buffered, if anything, and the first piece that was not buffered.
     pub fn new(buffer: Option<BodyBuffer>, overflow: Bytes) -> BufferedPrefix {
         let buffered = buffer.map(BodyBuffer::freeze).filter(|(bytes, _)| !bytes.is_empty());
         BufferedPrefix { buffered, overflow: Some(overflow) }
@@ -129,8 +130,8 @@
         self.len() == 0
     }
 
-    /// Returns the next piece. Pieces of the buffer are copies, so that the reservation is released with the
-    /// last of them, even while the reader still holds it.
+    /// Returns the next piece. Pieces of the buffer are copies, so that the buffer and its reservation are
+    /// released after the last of them, even while the reader still holds pieces.
     pub fn next_piece(&mut self) -> Option<Bytes> {
         let Some((bytes, _)) = &mut self.buffered else { return self.overflow.take() };
         let piece = Bytes::copy_from_slice(&bytes.split_to(bytes.len().min(MAX_PIECE_BYTES)));
--- a/src/node/body/error.rs
+++ b/src/node/body/error.rs
@@ -11,7 +11,7 @@
     /// The client sends the body more slowly than is required.
     #[error("the body was not received in time")]
     TooSlow,
-    /// The client has closed its connection, so the message reaches nobody.
+    /// The client has closed its connection, so it does not receive this message.
     #[error("the client has disconnected")]
     ClientDisconnected,
     /// The connection failed before the end of the body, or the framing of the body is invalid.
--- a/src/node/body/pacing.rs
+++ b/src/node/body/pacing.rs
@@ -24,7 +24,8 @@
     progress_deadline: Instant,
     /// Completes at `progress_deadline`. It is adjusted only when a poll finds no data.
     timer: Pin<Box<Sleep>>,
-    /// The time since which nobody has polled for data. That time does not count against the client.
+    /// Start of the current period without polls for data, if there is one. Such periods do not count against
+    /// the client.
     unpolled_since: Option<Instant>,
 }
 
@@ -89,7 +90,8 @@
     /// ```
     ///
     /// `rate` is [`MIN_UPLOAD_BYTES_PER_SECOND`], `pause` is [`MAX_UPLOAD_PAUSE`], `now` is the time of the
-    /// reception, and `deadline` is the time before and `new_deadline` the time after the extension.
+    /// reception, and `deadline` and `new_deadline` are `progress_deadline` before and after the extension.
+    /// Times are in seconds.
     fn extend_deadline(&mut self, bytes: usize) {
         let extension = Duration::from_secs_f64(bytes as f64 / MIN_UPLOAD_BYTES_PER_SECOND);
         self.progress_deadline = self
--- a/src/node/body/request.rs
+++ b/src/node/body/request.rs
@@ -19,9 +19,9 @@
 /// Progress of a streamed request body.
 #[derive(Clone, Copy)]
 pub enum UploadProgress {
-    /// Nothing of the body was forwarded.
+    /// No attempt has polled for the body.
     NotStarted,
-    /// Some of the body was forwarded, and is no longer in memory.
+    /// An attempt is forwarding the body. What it has forwarded is no longer in memory.
     Forwarding,
     /// The last byte of the body was received at this time.
     Complete(Instant),
@@ -54,8 +54,8 @@
         self.length
     }
 
-    /// Returns the error once receiving the body from the client has failed; never returns if it does not
-    /// fail.
+    /// Waits until receiving the body from the client fails, and returns the error. Never returns if it does
+    /// not fail.
     pub async fn failed(&self) -> BodyError {
         let mut progress = self.progress.subscribe();
         loop {
@@ -107,8 +107,9 @@
         let mut rest = self.rest.borrow_mut();
         let data = ready!(rest.poll_data(cx))?;
         if data.is_none() || self.length == Some(rest.received()) {
-            // A client's disconnect becomes visible only after all that it has sent, so it may show only now.
-            // Without the last byte no endpoint executes the request.
+            // A client's disconnect becomes visible only when all that it has sent was read, so it may become
+            // visible only now. The end of the body is then not forwarded, and without it no endpoint
+            // executes the request.
             if self.observer.is_peer_closed() {
                 return Poll::Ready(Err(BodyError::ClientDisconnected));
             }
--- a/src/node/body/response.rs
+++ b/src/node/body/response.rs
@@ -16,7 +16,7 @@
 use crate::body::outbound::take_frame;
 
 /// Maximum time that an endpoint may pause within a response that is already being streamed to its client. It
-/// is long because breaking off such a response benefits only the next request in the queue.
+/// is long because aborting such a response benefits only the next request in the queue.
 const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The part of an endpoint's response body that is read before the response is passed on.
@@ -51,13 +51,13 @@
 pub enum TransferEnd {
     /// The whole response was received.
     Complete,
-    /// The response was broken off, and the client can tell.
+    /// The response was aborted before its end, and the client can tell.
     Broken,
     /// The client has disconnected.
     ClientDisconnected,
 }
 
-/// The reason why a streamed response was broken off.
+/// The reason why a streamed response was aborted.
 #[derive(Debug, thiserror::Error)]
 enum TransferError {
     #[error("no response data was received from the endpoint for {} s", STALL_TIMEOUT.as_secs())]
--- a/src/node/discovery/backoff.rs
+++ b/src/node/discovery/backoff.rs
@@ -6,7 +6,7 @@
 const BASE_DELAY: Duration = Duration::from_millis(150);
 /// Number of consecutive failures up to which the base delay grows.
 const MAX_BACKOFF_STEPS: u32 = 4;
-/// Maximum time from the start of a failed watch to the start of the next one. It is exceeded only if the
+/// Maximum time from the start of a failed watch to the start of the next one. It can be exceeded only if the
 /// failed watch took longer than `MAX_RECONNECT_INTERVAL − 2 · BASE_DELAY`, because the base delay is never
 /// shorter than `BASE_DELAY`.
 ///
@@ -25,10 +25,13 @@
 ///
 /// where
 ///
+/// - `delay` is the time from the failure to the start of the next watch, and `d` is the base delay,
 /// - `n` is the number of consecutive failures, at least 1,
-/// - `t` is the time from the start of the last failed watch to its failure, in the unit of the constants,
+/// - `t` is the time from the start of the last failed watch to its failure,
 /// - `U` is a random number, uniformly distributed in [0, 1).
 ///
+/// All times are in the same unit.
+///
 /// Polled discovery uses the same short delays: discovery responds on the node's own machine, so reconnecting
 /// costs no other machine anything.
 pub(super) struct Backoff {
--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -22,8 +22,8 @@
 use crate::protocol::endpoint_list::EndpointList;
 
 /// Publishes the endpoint list of the configuration and then watches discovery forever. When `address`
-/// changes, the next watch is opened at the new address and starts from the current revision. If discovery is
-/// polled, the first watch waits for `subscribe`.
+/// changes, the open watch is closed, and the next one is opened at the new address from the current
+/// revision. If discovery is polled, the first watch is opened only after `subscribe` was notified.
 pub async fn follow(
     config: Rc<Config>,
     mut address: watch_channel::Receiver<SocketAddr>,
--- a/src/node/discovery/parser.rs
+++ b/src/node/discovery/parser.rs
@@ -4,7 +4,7 @@
 
 use crate::protocol::endpoint_list::EndpointList;
 
-/// Maximum size of an endpoint list in bytes: enough for several thousand endpoints in any indentation.
+/// Maximum size of an endpoint list in bytes: enough for several thousand endpoints, even in indented form.
 const MAX_LIST_BYTES: usize = 2 << 20;
 
 /// Reason why an endpoint list can't be parsed.
@@ -13,7 +13,7 @@
     /// The list does not end within [`MAX_LIST_BYTES`].
     #[error("endpoint list exceeds {MAX_LIST_BYTES} bytes")]
     TooLong,
-    /// There is an empty line within the list, or a line end within one of its strings.
+    /// There is a blank line within the list, or a line end within one of its strings.
     #[error("endpoint list is truncated after {bytes} bytes")]
     Truncated {
         /// Number of bytes received of the list.
--- a/src/node/discovery/watch.rs
+++ b/src/node/discovery/watch.rs
@@ -86,8 +86,8 @@
     /// The received data is not an endpoint list.
     #[error(transparent)]
     Parse(#[from] ParseError),
-    /// The received list is older than the one that the node has, and is not applied. A new watch sends what
-    /// has changed since the node's revision.
+    /// The received list is older than the one that the node has, and is not applied. On a new watch,
+    /// discovery sends what has changed since the node's revision.
     #[error("endpoint list has revision {received}, which is older than the current revision {current}")]
     StaleRevision {
         /// Revision of the received list.
@@ -103,7 +103,7 @@
     /// Received bytes that are not parsed yet.
     unparsed: Bytes,
     parser: ListParser,
-    /// When the watch counts as broken, unless a list or an empty line is completed before.
+    /// Time at which the watch counts as broken, unless a list or an empty line is completed before.
     expires_at: Instant,
     _connection: AbortOnDropHandle<hyper::Result<()>>,
     /// Keeps the connection open: it accepts requests only while a sender exists.
@@ -111,7 +111,7 @@
 }
 
 impl Watch {
-    /// Opens a watch that sends the changes since `revision`.
+    /// Opens a watch on which discovery sends the changes since `revision`.
     pub(super) async fn open(address: SocketAddr, revision: u64) -> Result<Watch, WatchError> {
         let stream = connect(address).await?;
         let request_error = |source| WatchError::Request { address, source };
--- a/src/node/engine/attempts.rs
+++ b/src/node/engine/attempts.rs
@@ -11,7 +11,7 @@
 
 impl Engine {
     /// Answers a request with a response that has started and is still streaming. If the request is already
-    /// answered, the attempt ends as cancelled, and its connection is closed.
+    /// answered, the attempt ends as cancelled, and the response is dropped, which closes its connection.
     pub(super) fn start_response(&mut self, id: AttemptId, response: Response<StreamingResponse>) {
         let now = self.clock.now();
         let handle = self.handle.clone();
@@ -47,7 +47,8 @@
             return;
         }
         // The response time of the endpoint starts when the attempt was sent or when the client's last byte
-        // was received, whichever is later, and lasts until the response starts.
+        // was received, whichever is later. It lasts until forwarding of a streamed response starts, and
+        // otherwise until the attempt ends.
         let began_at = attempt.sent_at.max(received_at);
         let elapsed = attempt.response_started_at.unwrap_or(now).saturating_duration_since(began_at);
         request.has_timed_out |= outcome == Outcome::TimedOut;
@@ -60,8 +61,9 @@
         }));
     }
 
-    /// Ends those attempts of an answered request that have not been written, or not completely. Cancelling
-    /// an attempt that an endpoint has received may not be allowed, but these attempts are merely not sent.
+    /// Ends those attempts of an answered request that have not been written, or not completely. The settings
+    /// may forbid cancelling an attempt that an endpoint has received, but these attempts end as not sent,
+    /// which is always allowed.
     pub(super) fn end_unwritten_attempts(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id).filter(|request| request.is_answered()) else { return };
         for attempt in request.unwritten_attempts(id) {
@@ -72,8 +74,8 @@
     /// Gives a request its final answer, unless it already has one.
     pub(super) fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
         if let Some(client) = self.requests.get_mut(&id).and_then(ActiveRequest::take_answer_sender) {
-            // Sending fails if the client is just disconnecting. Its `ClientDisconnected` then finds the
-            // request answered.
+            // Sending fails if the client has just disconnected. The engine then ignores the event
+            // `ClientDisconnected`, because the request is already answered.
             let _ = client.send(answer);
         }
         self.remove_if_finished(id);
--- a/src/node/engine/clock.rs
+++ b/src/node/engine/clock.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 /// Unix time at the start of the clock, advanced by the monotonic clock. It can be compared with the start
-/// times of endpoints, which are in Unix time, and never runs backwards.
+/// times of endpoints, which are in Unix time, and never goes backwards.
 #[derive(Clone, Copy)]
 pub(super) struct Clock {
     start_instant: Instant,
@@ -26,8 +26,8 @@
         self.timestamp(Instant::now())
     }
 
-    /// Converts an instant of the runtime's clock, which must not be before the start of this clock, to a
-    /// time.
+    /// Converts an instant of the runtime's clock to a time. An instant before the start of this clock gives
+    /// its start.
     pub(super) fn timestamp(&self, instant: Instant) -> Timestamp {
         self.start_time + instant.saturating_duration_since(self.start_instant)
     }
--- a/src/node/engine/handle.rs
+++ b/src/node/engine/handle.rs
@@ -9,7 +9,8 @@
 use super::event::EngineEvent;
 use crate::upstream::{ListedEndpoint, UpstreamPool};
 
-/// Number of highest bits of request ids that stay 0. The balancer's own timer tokens have them set.
+/// Number of the highest bits of request ids that are 0. The numbers of timer tokens that belong to no
+/// request have these bits set.
 const RESERVED_ID_BITS: u32 = 2;
 
 /// Sends events to the engine. A change that must affect running attempts at once is applied to the
@@ -34,8 +35,8 @@
         (EngineHandle { events, next_request_id, upstream }, receiver)
     }
 
-    /// Sends an event to the engine. It is dropped if there is no engine any more, because the process is
-    /// ending.
+    /// Sends an event to the engine. The event is dropped if there is no engine any more, because the process
+    /// is ending.
     pub fn send(&self, event: EngineEvent) {
         let _ = self.events.send(event);
     }
--- a/src/node/engine/mod.rs
+++ b/src/node/engine/mod.rs
@@ -1,6 +1,7 @@
 //! The engine, which owns the balancer, its clock and timers, and the table of active requests.
 //!
-//! It receives events on sockets as [`EngineEvent`]s. The balancer's actions are executed only here.
+//! Other parts of the node send it [`EngineEvent`]s through [`EngineHandle`]s. The balancer's actions are
+//! executed only here.
 
 mod actions;
 mod attempts;
@@ -29,7 +30,7 @@
     upstream: Rc<UpstreamPool>,
     /// Handle for the tasks of attempts.
     handle: EngineHandle,
-    /// Notified when the balancer requests the watch on discovery.
+    /// Notified when the balancer subscribes to discovery, so that the watch is opened.
     subscribe: Rc<Notify>,
     clock: Clock,
     timers: Timers,
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Handles events and timers as long as an [`EngineHandle`] exists.
+    /// Handles events and timers until the future is dropped. The channel of events stays open, because the
+    /// engine itself holds an [`EngineHandle`].
     pub async fn run(mut self, mut events: mpsc::UnboundedReceiver<EngineEvent>) {
         loop {
             tokio::select! {
--- a/src/node/engine/requests.rs
+++ b/src/node/engine/requests.rs
@@ -18,7 +18,7 @@
 /// A request that has no final answer yet, or still has attempts running.
 pub(super) struct ActiveRequest {
     pub(super) upstream_request: Rc<UpstreamRequest>,
-    /// Taken when the final answer is given or the client has disconnected.
+    /// `None` once the final answer is given or the client has disconnected.
     answer_sender: Option<oneshot::Sender<FinalAnswer>>,
     /// Attempts in the order in which they were sent.
     attempts: Vec<Attempt>,
@@ -98,11 +98,11 @@
 /// One attempt of a request.
 pub(super) struct Attempt {
     pub(super) sent_at: Timestamp,
-    /// Whether some of the attempt may have been written to a socket; set by its task.
+    /// Whether some of the request may have been written to a socket in this attempt; set by its task.
     may_be_written: Rc<Cell<bool>>,
     /// When forwarding of its response to the client started. After that, the balancer can't cancel it.
     pub(super) response_started_at: Option<Timestamp>,
-    /// Taken when the balancer is notified of the end of the attempt.
+    /// `None` once the balancer is notified of the end of the attempt.
     task: Option<AbortHandle>,
 }
 
--- a/src/node/net/downstream_socket.rs
+++ b/src/node/net/downstream_socket.rs
@@ -34,7 +34,7 @@
 pub struct SocketObserver {
     stream: OwnedWriteHalf,
     framer: RefCell<MessageFramer>,
-    /// Whether the socket reads on for a while after the last response.
+    /// Whether the socket lingers after the last response.
     should_linger: Cell<bool>,
     write_blocked_since: Cell<Option<Instant>>,
 }
@@ -91,7 +91,8 @@
         self.framer.borrow_mut().complete(length);
     }
 
-    /// Makes the socket read on for a while after the last response, as the client may still be sending.
+    /// Makes the socket linger after the last response: it reads and discards what the client still sends,
+    /// for at most [`LINGER_TIMEOUT`].
     pub fn linger(&self) {
         self.should_linger.set(true);
     }
--- a/src/node/net/inherited_listener.rs
+++ b/src/node/net/inherited_listener.rs
@@ -8,7 +8,7 @@
 use socket2::{SockRef, Socket};
 use thiserror::Error;
 
-/// The environment variable that holds the number of the socket's file descriptor.
+/// The environment variable that holds the number of the socket's descriptor.
 const SOCKET_VARIABLE: &str = "GW_PASSED_SOCKET";
 
 /// The highest descriptor number of the standard streams, none of which can be the inherited socket.
@@ -18,13 +18,13 @@
 #[derive(Debug, Error)]
 pub enum InheritedListenerError {
     /// The variable's value is not the number of a descriptor after the standard streams.
-    #[error("{SOCKET_VARIABLE}: {value:?} is not a file descriptor number above {LAST_STANDARD_STREAM}")]
+    #[error("{SOCKET_VARIABLE}: {value:?} is not a descriptor number above {LAST_STANDARD_STREAM}")]
     InvalidNumber {
         /// The variable's value.
         value: OsString,
     },
     /// The descriptor is not open, or not a socket.
-    #[error("{SOCKET_VARIABLE}: file descriptor {descriptor} is not a usable socket")]
+    #[error("{SOCKET_VARIABLE}: descriptor {descriptor} is not a usable socket")]
     Unusable {
         /// The descriptor's number.
         descriptor: RawFd,
@@ -32,13 +32,13 @@
         source: io::Error,
     },
     /// The socket is not listening.
-    #[error("{SOCKET_VARIABLE}: file descriptor {descriptor} is not a listening socket")]
+    #[error("{SOCKET_VARIABLE}: descriptor {descriptor} is not a listening socket")]
     NotListening {
         /// The descriptor's number.
         descriptor: RawFd,
     },
     /// The socket is listening, but not for TCP connections.
-    #[error("{SOCKET_VARIABLE}: file descriptor {descriptor} is not a TCP listener")]
+    #[error("{SOCKET_VARIABLE}: descriptor {descriptor} is not a TCP listener")]
     NotTcp {
         /// The descriptor's number.
         descriptor: RawFd,
@@ -46,7 +46,7 @@
 }
 
 /// Returns the listener that was passed to the process, if any. Must be called before the process opens any
-/// file descriptor.
+/// descriptor.
 ///
 /// # Errors
 ///
--- a/src/node/net/mod.rs
+++ b/src/node/net/mod.rs
@@ -1,5 +1,5 @@
 //! Sockets: wrappers around TCP streams that observe the bytes that hyper reads and writes, the inherited
-//! listener, and limits on connections and file descriptors.
+//! listener, and limits on connections and descriptors.
 
 pub mod inherited_listener;
 
--- a/src/node/net/upstream_socket.rs
+++ b/src/node/net/upstream_socket.rs
@@ -43,7 +43,7 @@
         self.bytes_written.get()
     }
 
-    /// Waits until bytes were read since the last call of this or of [`UpstreamSocket::clear_received`].
+    /// Waits until bytes were read since this last returned or [`UpstreamSocket::clear_received`] was called.
     pub async fn data_received(&self) {
         while !self.has_received_data.get() {
             self.data_notify.notified().await;
@@ -51,7 +51,8 @@
         self.has_received_data.set(false);
     }
 
-    /// Discards the record that bytes were read, because they belonged to an earlier response.
+    /// Clears the flag that [`UpstreamSocket::data_received`] waits for. The bytes that set it belong to an
+    /// earlier response.
     pub fn clear_received(&self) {
         self.has_received_data.set(false);
     }
--- a/src/node/protocol/named_field.rs
+++ b/src/node/protocol/named_field.rs
@@ -1,5 +1,4 @@
-//! Field names in the errors of `serde`, which by themselves state the cause and the position, but not the
-//! field.
+//! Adds the names of fields to the errors of `serde`, which state only the cause and the position.
 
 /// Defines a function for each field, for use in `#[serde(deserialize_with = "...")]`. It deserializes the
 /// type of the field and adds the field's name to errors.
--- a/src/node/upstream/endpoints.rs
+++ b/src/node/upstream/endpoints.rs
@@ -86,8 +86,8 @@
     }
 
     /// Adds an endpoint, or replaces it and drops its connections if it has moved or restarted. An endpoint
-    /// that was unreachable and is back does not know its old connections, and nothing on them would show
-    /// that.
+    /// that restarts while it is unreachable does not know its old connections, and the node does not receive
+    /// a close on them.
     fn update(&mut self, ListedEndpoint { info, address }: ListedEndpoint) {
         let incarnation =
             Incarnation { address, started_at: info.started_at, maintenance_epoch: self.maintenance_epoch };
--- a/src/simulator/codes.rs
+++ b/src/simulator/codes.rs
@@ -17,7 +17,7 @@
     pub const VANISHED: u16 = 6;
     /// `Wakeup`: a timer has fired.
     pub const WAKEUP: u16 = 7;
-    /// `PingResult`: a probe of an endpoint has ended.
+    /// `PingResult`: a ping of an endpoint has ended.
     pub const PING_RESULT: u16 = 8;
     /// `Peer`: another node has sent a message.
     pub const PEER: u16 = 9;
@@ -63,7 +63,7 @@
 pub mod stage_state {
     /// The endpoint is removed. Only deltas have this state.
     pub const GONE: u8 = 0;
-    /// The endpoint completes its requests and should get no new ones.
+    /// The endpoint finishes its requests and should get no new ones.
     pub const DRAINING: u8 = 1;
     /// The endpoint accepts requests.
     pub const READY: u8 = 2;
@@ -75,7 +75,7 @@
     pub const OK: u8 = 0;
     /// The endpoint responded with an error.
     pub const ERROR: u8 = 5;
-    /// The endpoint rejected the attempt without processing it.
+    /// The endpoint rejected the attempt without executing it.
     pub const FULL: u8 = 11;
     /// The connection closed during the attempt.
     pub const RESET: u8 = 104;
--- a/src/simulator/decode.rs
+++ b/src/simulator/decode.rs
@@ -146,7 +146,7 @@
     Ok(Event::AttemptEnded(AttemptResult { request, attempt, outcome, elapsed, request_finished }))
 }
 
-/// Skips the result of a probe. Balancers send no probes.
+/// Skips the result of a ping. Balancers send no pings.
 fn skip_ping_result(fields: &mut FieldReader<'_>) -> Result<(), WireError> {
     fields.duration("PingResult.wait_time_us")?;
     fields.endpoint("PingResult.server")?;
@@ -215,8 +215,8 @@
     }
 }
 
-/// Reads fields from the front of a slice. They are little-endian unless stated otherwise. Errors name the
-/// field.
+/// Reads fields from the beginning of a slice. They are little-endian unless stated otherwise. Errors name
+/// the field.
 struct FieldReader<'a>(&'a [u8]);
 
 impl<'a> FieldReader<'a> {
--- a/src/simulator/encode.rs
+++ b/src/simulator/encode.rs
@@ -30,7 +30,7 @@
             self.begin_record(code::FROM).u16(node);
         }
         match action {
-            // `begin_by` has no use here: the simulator counts an attempt as sent at once, however late its
+            // `begin_by` is not encoded: the simulator counts an attempt as sent at once, however late its
             // connection is established.
             Action::Send { request, endpoint, begin_by: _ } => self.route(request, endpoint),
             Action::Reject { request, retry_after } => self.deny(request, retry_after),
@@ -69,7 +69,8 @@
         fields
     }
 
-    /// Returns the frame of the reply to the batch of this number.
+    /// Returns the frame of the reply to the batch of this number. Its header contains the number of records,
+    /// the number of bytes after this length, and the number of the batch, each with 32 bits.
     pub fn to_frame(&self, batch: u32) -> Vec<u8> {
         const BATCH_BYTES: u32 = 4;
         const HEADER_BYTES: usize = 12;
@@ -106,8 +107,8 @@
         self
     }
 
-    /// Appends a duration in microseconds, with 32 bits. A longer one than the field can hold, which is about
-    /// 71 minutes, becomes the maximum of the field.
+    /// Appends a duration in microseconds, with 32 bits. A duration above the maximum of the field, which is
+    /// about 71.6 minutes, becomes that maximum.
     fn duration(&mut self, value: Duration) -> &mut Self {
         self.u32(u32::try_from(value.as_micros()).unwrap_or(u32::MAX))
     }
--- a/src/simulator/frames.rs
+++ b/src/simulator/frames.rs
@@ -1,4 +1,4 @@
-//! Reading of frames. A frame is a length in 4 bytes, little-endian, followed by that number of bytes.
+//! Reading of input frames. Each is a length in 4 bytes, little-endian, followed by that number of bytes.
 
 use std::io::Read;
 
@@ -7,7 +7,8 @@
 /// Size of a frame's length in bytes.
 const LENGTH_BYTES: u64 = 4;
 
-/// Reads the next frame, without its length, into `frame`. Returns false at the end of the input.
+/// Reads the next frame, without its length, into `frame`. Returns whether there was a frame: at the end of
+/// the input there is none.
 ///
 /// Memory is allocated for bytes that have arrived, not in advance for the length of the frame, which may be
 /// wrong.
--- a/tests/simulator/decoding.rs
+++ b/tests/simulator/decoding.rs
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_weight_that_is_not_finite_or_negative_counts_as_unknown() {
+fn a_negative_or_non_finite_weight_counts_as_unknown() {
     for weight in ["0000c07f", "0000807f", "000080bf"] {
         let list = format!("0b00 00 01000000 02 0000000000000000 00 0a124a07 8b13 0000 {weight} 00");
         let got = decode_records(&mut Decoder::default(), &format!("{list} 0200 02 2900000000000000 00"));
--- a/tests/simulator/settings.rs
+++ b/tests/simulator/settings.rs
@@ -10,17 +10,20 @@
     let text = "balancers=2\nrank=1\nnew.key=1\nservices.count=1\nservices.0.idempotency=token\n\
                 services.0.dedup_scope=cell\nservices.0.window_us=4000000\nparties.count=1\n\
                 parties.0.quota_rps=52.0\ndiscovery=subscribe\nobligations.ask_every_us=10000000\n";
-    let s = parse_settings(text.as_bytes()).unwrap();
+    let settings = parse_settings(text.as_bytes()).unwrap();
     assert_eq!(
-        s.classes[0].idempotency,
+        settings.classes[0].idempotency,
         Idempotency::IdempotentWithKey {
             scope: IdempotencyScope::Cell,
             window: Duration::from_micros(4_000_000)
         }
     );
-    assert_eq!((s.node_count, s.node_index, s.tenants[0].quota_per_second), (2, 1, 52.0));
-    assert_eq!(s.discovery, DiscoveryMode::Poll { interval: Duration::from_micros(10_000_000) });
-    assert_eq!((s.max_attempts, s.cancellation, s.hedging), (1, false, false));
+    assert_eq!(
+        (settings.node_count, settings.node_index, settings.tenants[0].quota_per_second),
+        (2, 1, 52.0)
+    );
+    assert_eq!(settings.discovery, DiscoveryMode::Poll { interval: Duration::from_micros(10_000_000) });
+    assert_eq!((settings.max_attempts, settings.cancellation, settings.hedging), (1, false, false));
     let count = parse_settings(b"services.count=4000000000").unwrap_err();
     assert!(count.to_string().contains("services.count"));
 }
@@ -28,11 +31,11 @@
 #[test]
 fn weights_and_overload_multiple_are_parsed() {
     let read = |text: &str| parse_settings(text.as_bytes()).unwrap();
-    let stated = read("weights=live\nobligations.fall_multiple=2.5\n");
-    assert!(stated.load_dependent_weights && stated.overload_multiple == 2.5);
-    let silent = read("weights=nominal\n");
+    let explicit = read("weights=live\nobligations.fall_multiple=2.5\n");
+    assert!(explicit.load_dependent_weights && explicit.overload_multiple == 2.5);
+    let default = read("weights=nominal\n");
     assert!(
-        !silent.load_dependent_weights && silent.overload_multiple == Settings::default().overload_multiple
+        !default.load_dependent_weights && default.overload_multiple == Settings::default().overload_multiple
     );
 }
 
