--- a/src/node/upstream/endpoints.rs
+++ b/src/node/upstream/endpoints.rs
@@ -69,7 +69,7 @@
         self.apply(list, HashSet::new());
     }
 
-    /// Applies the records of a list, and then removes the endpoints that are not ready, because no requests
+    /// Applies the entries of a list, and then removes the endpoints that are not ready, because no requests
     /// are sent to them. `unready` contains the endpoints that are not ready unless the list says otherwise.
     fn apply(&mut self, list: impl Iterator<Item = ListedEndpoint>, mut unready: HashSet<EndpointId>) {
         for endpoint in list {
@@ -86,8 +86,8 @@
     }
 
     /// Adds an endpoint, or replaces it and drops its connections if it has moved or restarted. An endpoint
-    /// that was unreachable and is back does not know its old connections, and nothing on them would show
-    /// that.
+    /// that restarts while it is unreachable does not know its old connections, and the node does not receive
+    /// a close on them.
     fn update(&mut self, ListedEndpoint { info, address }: ListedEndpoint) {
         let incarnation =
             Incarnation { address, started_at: info.started_at, maintenance_epoch: self.maintenance_epoch };
