--- a/src/node/downstream/connection.rs
+++ b/src/node/downstream/connection.rs
@@ -9,8 +9,9 @@
 
 use crate::net::SocketObserver;
 
-/// Maximum time for a client to send a request head, and maximum time for which a connection stays idle. A
-/// client that needs a connection later opens a new one.
+/// Maximum time for a client to send a request head, maximum time from the head to the first data of its
+/// body, and maximum time for which a connection stays idle. A client that needs a connection later opens a
+/// new one.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Maximum time from accepting a connection to the end of its first request's head. It ensures that a
 /// connection is closed within 3 s if no head is completed on it.
@@ -83,7 +84,7 @@
         self.first_request_pending.set(false);
     }
 
-    /// Records that hyper has taken the last bytes of the response. The connection is idle from now on.
+    /// Records that hyper has read the last bytes of the response. The connection is idle from now on.
     pub fn mark_request_finished(&self) {
         self.idle_since.set(Some(Instant::now()));
     }
@@ -100,9 +101,9 @@
         self.observer.has_request_started() || self.observer.has_unread_data()
     }
 
-    /// Returns since when the connection is idle, if it may be closed now. A client whose request was still
-    /// on its way when the connection closed sends the request again, but a request that has partly arrived
-    /// would be lost.
+    /// Returns the time since which the connection has been idle, if it may be closed now. A client whose
+    /// request was still on its way when the connection closed sends the request again, but a request that
+    /// has partly arrived would be lost.
     pub fn idle_since_if_closable(&self) -> Option<Instant> {
         let idle_since = self.idle_since.get()?;
         if self.is_closing() || self.has_incoming_request() {
@@ -120,7 +121,8 @@
             || write_blocked.is_some_and(|since| since.elapsed() >= WRITE_TIMEOUT)
     }
 
-    /// Returns the time by which the request head that is being received has to be complete.
+    /// Returns the time by which the request head that is being received has to be complete, or `None` if no
+    /// head is being received.
     fn head_deadline(&self) -> Option<Instant> {
         self.idle_since.get()?;
         let deadline = self.observer.head_since()? + REQUEST_TIMEOUT;
--- a/src/node/downstream/connections.rs
+++ b/src/node/downstream/connections.rs
@@ -34,7 +34,7 @@
 impl ConnectionLimits {
     /// Returns the limits for a process with this many descriptors for connections, of which `upstream` are
     /// reserved for upstream connections. More are needed downstream: a downstream connection is in use for
-    /// as long as its request waits, an upstream connection only during an attempt.
+    /// as long as its request is open, an upstream connection only during an attempt.
     pub fn new(descriptors: usize, upstream: usize) -> ConnectionLimits {
         let max_open = descriptors - upstream;
         ConnectionLimits {
@@ -80,8 +80,8 @@
         while self.non_closing_count() > limits.max_open && self.close_longest_idle() {}
     }
 
-    /// Adds a connection, which dropping the returned guard removes. If this exceeds the keep-alive limit,
-    /// closes the connection that has been idle for longest.
+    /// Adds a connection, which is removed when the returned entry is dropped. If this exceeds the keep-alive
+    /// limit, closes the connection that has been idle for longest.
     pub fn insert(self: &Rc<Self>, connection: Rc<Connection>) -> TableEntry {
         let id = self.next_id.replace(self.next_id.get() + 1);
         self.open.borrow_mut().insert(id, connection.clone());
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Aborts the connections whose clients have stopped sending or reading.
+    /// Aborts the connections whose clients take too long to send a request head or to read a response.
     pub fn abort_stuck(&self) {
         let open = self.open.borrow();
         open.values()
@@ -193,7 +193,7 @@
     }
 }
 
-/// Counts a request as open. It is dropped once hyper has taken the last bytes of the response.
+/// Counts a request as open. It is dropped once hyper has read the last bytes of the response.
 pub struct RequestGuard {
     table: Rc<ConnectionTable>,
     connection: Rc<Connection>,
--- a/src/node/downstream/error.rs
+++ b/src/node/downstream/error.rs
@@ -43,7 +43,8 @@
         /// The method that the class requires.
         expected: Method,
     },
-    /// The class requires an idempotency key and the request has none.
+    /// The class requires an idempotency key, and the request has none, more than one, or one that is empty
+    /// or not text.
     #[error("Idempotency-Key is missing, repeated, empty or unreadable")]
     MissingIdempotencyKey,
     /// The class is non-idempotent and the request has an idempotency key.
--- a/src/node/downstream/exchange.rs
+++ b/src/node/downstream/exchange.rs
@@ -38,9 +38,9 @@
     });
 }
 
-/// Hands a request to the engine and waits for the final answer. The engine is notified if this ends without
-/// one: because the client disconnects or fails to send its body, because the shutdown deadline passes, or
-/// because hyper drops the future.
+/// Hands a request to the engine and waits for the final answer. If the wait ends without one, the engine is
+/// notified: the client disconnects or fails to send its body, the shutdown deadline passes, or hyper drops
+/// the future.
 pub async fn exchange(
     accepted: AcceptedRequest<'_>,
     observer: &SocketObserver,
--- a/src/node/downstream/health.rs
+++ b/src/node/downstream/health.rs
@@ -1,4 +1,4 @@
-//! The health check for the load balancer that distributes connections over the nodes.
+//! The health check for the load balancer in front of the nodes.
 
 use hyper::{Method, Response, StatusCode};
 
--- a/src/node/downstream/listener.rs
+++ b/src/node/downstream/listener.rs
@@ -11,9 +11,10 @@
 use crate::downstream::server::DownstreamServer;
 use crate::net::{DownstreamSocket, is_descriptor_limit};
 
-/// Pause before the next accept when no descriptor is left or no further connection is allowed.
+/// Pause after a failed accept, for example when no descriptor is left. While no further connection is
+/// allowed, also the maximum time until the connections are checked again.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
-/// Once accepting has to stop, the backlog is taken to be empty after this long without a new connection.
+/// Time without a new connection after which the backlog counts as empty, once accepting has to stop.
 const LAST_ACCEPT_TIMEOUT: Duration = Duration::from_millis(20);
 
 impl DownstreamServer {
--- a/src/node/downstream/request.rs
+++ b/src/node/downstream/request.rs
@@ -20,9 +20,9 @@
 };
 use crate::upstream::UpstreamRequest;
 
-/// Part of a client's deadline that is reserved for transit. The deadline counts from when the client sends
-/// the request: some of it has passed when the node reads the request, and more passes before the response
-/// has arrived at the client.
+/// Time in transit, subtracted once from each deadline. A deadline counts from when the client sends the
+/// request: this much of it has passed when the node reads the request, and this much passes again before the
+/// response has arrived at the client.
 const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(3);
 /// `Host` header of requests to endpoints, used if the client sent none.
 const DEFAULT_HOST: HeaderValue = HeaderValue::from_static("origin.svc");
@@ -48,7 +48,7 @@
         let client_request_id = parse_request_id(&headers)?.into();
         let deadline = single_value(&headers, &REQ_DEADLINE).and_then(parse_seconds);
         let deadline = deadline.ok_or(RequestError::InvalidDeadline)?;
-        check_method(&class, &method, &headers)?;
+        check_method_and_key(&class, &method, &headers)?;
         if method == Method::GET && has_body {
             return Err(RequestError::UnexpectedBody);
         }
@@ -165,7 +165,7 @@
 
 /// Checks that the method is the one of the class, and that an `Idempotency-Key` is present if the class
 /// requires one and absent if the class is non-idempotent.
-fn check_method(class: &ClassRule, method: &Method, headers: &HeaderMap) -> Result<(), RequestError> {
+fn check_method_and_key(class: &ClassRule, method: &Method, headers: &HeaderMap) -> Result<(), RequestError> {
     let expected = match class.idempotency {
         Idempotency::Idempotent => Method::GET,
         Idempotency::IdempotentWithKey { .. } | Idempotency::NonIdempotent => Method::POST,
--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -1,4 +1,4 @@
-//! The interface of the downstream module to the life cycle and the admin API.
+//! The interface of the downstream module to the lifecycle and the admin API.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 
 /// Interval at which connections that have been idle for too long or are stuck are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval at which idle connections are closed while all connections have to close.
+/// Maximum interval at which idle connections are closed while all connections have to close.
 const DRAIN_INTERVAL: Duration = Duration::from_millis(20);
 /// Interval at which idle connections are closed in standby.
 const STANDBY_SWEEP_INTERVAL: Duration = Duration::from_millis(100);
--- a/src/node/downstream/service.rs
+++ b/src/node/downstream/service.rs
@@ -1,4 +1,4 @@
-//! Serves the requests on one connection with hyper, and closes the connection in time.
+//! Serves the requests on one connection with hyper until the connection closes or is aborted.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -24,19 +24,19 @@
     connections: Rc<ConnectionTable>,
     lifecycle: Rc<Lifecycle>,
     /// Maximum number of bytes that a connection buffers in each direction.
-    buffer_size: usize,
+    max_buffer_size: usize,
 }
 
 impl ConnectionService {
-    /// Creates a service that answers requests with `handler`, on connections that buffer up to `buffer_size`
-    /// bytes in each direction.
+    /// Creates a service that answers requests with `handler`, on connections that buffer at most
+    /// `max_buffer_size` bytes in each direction.
     pub fn new(
         handler: RequestHandler,
         connections: Rc<ConnectionTable>,
         lifecycle: Rc<Lifecycle>,
-        buffer_size: usize,
+        max_buffer_size: usize,
     ) -> ConnectionService {
-        ConnectionService { handler, connections, lifecycle, buffer_size }
+        ConnectionService { handler, connections, lifecycle, max_buffer_size }
     }
 
     /// Serves a connection until it closes.
@@ -48,7 +48,7 @@
         let mut builder = http1::Builder::new();
         // hyper would start the timeout of a head at the previous response. The sweep starts it at the first
         // byte of the head.
-        builder.header_read_timeout(None).max_buf_size(self.buffer_size);
+        builder.header_read_timeout(None).max_buf_size(self.max_buffer_size);
         let mut serving = pin!(builder.serve_connection(TokioIo::new(socket), service));
         loop {
             tokio::select! {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Answers one request. The request counts as open until hyper has taken the last bytes of the response.
+    /// Answers one request. The request counts as open until hyper has read the last bytes of the response.
     async fn respond(
         &self,
         request: Request<Incoming>,
--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -27,8 +27,8 @@
 }
 
 impl UpstreamPool {
-    /// Sends a request to an endpoint and waits for the response. `may_be_written` is `true` while part of
-    /// the request may have been written to a socket.
+    /// Sends a request to an endpoint and waits for the response, at most until the request expires.
+    /// `may_be_written` is `true` while some of the request may have been written to a socket.
     pub async fn attempt(
         self: &Rc<Self>,
         request: &UpstreamRequest,
@@ -71,8 +71,8 @@
 }
 
 impl Attempt<'_> {
-    /// Sends the request on an idle or a new connection, and tries another connection as long as nothing has
-    /// been written.
+    /// Sends the request on an idle connection or a new one. Tries another connection each time that a reused
+    /// one closes before any byte of the request was written to it.
     async fn run(&self) -> Result<AttemptOutcome, Outcome> {
         loop {
             let lease = self.lease_connection().await?;
@@ -99,7 +99,7 @@
         if self.request.may_begin() && is_current { Ok(lease) } else { Err(Outcome::NotSent) }
     }
 
-    /// Opens a connection, and fails when the attempt may no longer begin.
+    /// Opens a connection. Fails if the endpoint is not available, or if `begin_by` passes first.
     async fn connect(&self) -> Result<ConnectionLease, Outcome> {
         let incarnation = self.pool.available_incarnation(self.endpoint).ok_or(Outcome::NotSent)?;
         let connecting = self.pool.connect(self.endpoint, incarnation, self.request);
@@ -173,7 +173,7 @@
         if !self.request.may_be_complete(head_length, written) {
             return Outcome::ConnectFailed.into();
         }
-        // An invalid response is not a break of the connection that delivered it.
+        // An invalid response does not count as a break of the connection, which has delivered it.
         if !error.is_parse() {
             self.pool.record_break(lease.origin);
         }
@@ -232,7 +232,8 @@
     }
 }
 
-/// Closes the idle connections to an endpoint if an attempt ends without a response after a long time.
+/// Closes the idle connections to an unresponsive endpoint when an attempt ends without a response; see
+/// [`UpstreamPool::close_if_unresponsive`].
 ///
 /// An endpoint that has become unreachable responds on none of its existing connections. Each idle connection
 /// would cost another attempt its full timeout, and it would stay unknown whether the request was executed. A
--- a/src/node/upstream/connect.rs
+++ b/src/node/upstream/connect.rs
@@ -1,4 +1,4 @@
-//! Opening of connections within the limits on connection permits and file descriptors.
+//! Opening of connections within the limits on connection permits and descriptors.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,9 +20,9 @@
 pub enum ConnectError {
     /// No permit or no descriptor became available in time. This is not a failure of the endpoint.
     NoCapacity,
-    /// The request may no longer be sent.
+    /// The request may no longer be sent. This changed while it waited for a permit or a descriptor.
     RequestWithdrawn,
-    /// The endpoint did not accept the connection in time.
+    /// The connection failed, or the endpoint did not accept it in time.
     Unreachable,
 }
 
@@ -71,9 +71,9 @@
     /// Opens a socket once a permit and a descriptor are available. Descriptors can run out before permits,
     /// because the machine may have fewer of them than the configuration says.
     ///
-    /// The wait for both is limited to the connect timeout. Failing at once would be no better: the shortage
-    /// affects the connections to all endpoints, and immediate retries would use up the attempts of the
-    /// request.
+    /// The wait for both is limited to the connect timeout. It would not help to fail immediately: the
+    /// shortage affects the connections to all endpoints, and immediate retries would use up the attempts of
+    /// the request.
     async fn open_socket(
         &self,
         address: SocketAddr,
--- a/src/node/upstream/connection.rs
+++ b/src/node/upstream/connection.rs
@@ -71,7 +71,7 @@
         let io = TokioIo::new(UpstreamIo(socket.clone()));
         let (sender, driver) = http1::Builder::new().max_buf_size(max_buffer_size).handshake(io).await?;
         let task = tokio::task::spawn_local(async move {
-            // Attempts get the errors from `send`.
+            // The error is ignored here: the attempt gets it from `send` or from the body of the response.
             let _ = driver.await;
         });
         Ok(Connection {
--- a/src/node/upstream/idle.rs
+++ b/src/node/upstream/idle.rs
@@ -6,10 +6,12 @@
 
 use super::connection::Connection;
 
-/// Minimum idle time before a connection is reused. Endpoints may send stray bytes up to 7 ms after a
-/// response. These have to arrive before the next request is written, or they would be read as its response.
+/// Minimum idle time before a connection is reused. Endpoints have been observed to send stray bytes up to
+/// 7 ms after a response. These have to arrive before the next request is written, or they would be read as
+/// its response.
 const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(10);
-/// Time without any response after which an endpoint is considered unresponsive.
+/// Time since the sending of a request after which the endpoint counts as unresponsive, if it has sent no
+/// response at all since then. Such an endpoint may be unreachable.
 const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Limits on the idle time of a connection that is reused for a request.
--- a/src/node/upstream/idle_timeout.rs
+++ b/src/node/upstream/idle_timeout.rs
@@ -3,15 +3,19 @@
 //! Endpoints accept a limited number of connections and do not say how many. The idle connections of all
 //! nodes together can use up this limit, so that nodes that need a new connection do not get one although
 //! the endpoints have capacity for requests. Each rejection of a new connection therefore halves the idle
-//! timeout, which doubles every [`DOUBLING_TIME`] while none is rejected:
+//! timeout, which doubles every [`DOUBLING_TIME`] while none is rejected. A connection counts as rejected if
+//! the endpoint rejects a request on it and closes it:
 //!
 //! ```text
-//! new connection rejected:     T := max(T / 2, MIN_IDLE_TIMEOUT)
-//! reused connection rejected:  T := 2 T
-//! after t without a rejection: T 2^(t / DOUBLING_TIME)
+//! T = min(T_0 2^(t / DOUBLING_TIME), T_max)
 //!
-//! T  idle timeout, at most the configured maximum (s)
-//! t  time since the last rejection (s)
+//! new connection rejected:     T_0 := min(max(T / 2, MIN_IDLE_TIMEOUT), T_max)
+//! reused connection rejected:  T_0 := min(2 T, T_max)
+//!
+//! T      idle timeout, before the rejection in the two rules for T_0 (s)
+//! T_0    idle timeout immediately after the last rejection, T_max before the first one (s)
+//! T_max  configured maximum of the idle timeout (s)
+//! t      time since the last rejection (s)
 //! ```
 //!
 //! A rejection on a reused connection shows that the endpoint's limit on connections is not the cause.
@@ -25,7 +29,7 @@
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time in which the idle timeout doubles while no new connection is rejected.
 const DOUBLING_TIME: Duration = Duration::from_secs(5);
-/// Maximum number of doublings. Any timeout has reached its maximum by then, and many more would overflow.
+/// Maximum number of doublings. After these, any timeout has reached its maximum; many more would overflow.
 const MAX_DOUBLINGS: f64 = 32.0;
 
 /// The idle timeout after its last change.
@@ -47,12 +51,12 @@
         IdleTimeoutPolicy { state: Cell::new(State { timeout: max, changed_at: Instant::now() }), max }
     }
 
-    /// Records that an endpoint has rejected a request on a new connection and closes the connection.
+    /// Records that an endpoint has rejected a request on a new connection, which the endpoint closes.
     pub fn record_new_connection_rejected(&self) {
         self.set((self.max_idle() / 2).max(MIN_IDLE_TIMEOUT));
     }
 
-    /// Records that an endpoint has rejected a request on a reused connection and closes the connection.
+    /// Records that an endpoint has rejected a request on a reused connection, which the endpoint closes.
     pub fn record_reused_connection_rejected(&self) {
         self.set(self.max_idle() * 2);
     }
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -2,7 +2,7 @@
 //! each connection carries one at a time.
 //!
 //! Other modules use [`UpstreamPool`]: the engine passes it an [`UpstreamRequest`] for each attempt and gets
-//! an [`AttemptOutcome`]. The modules, in the order in which they import each other:
+//! an [`AttemptOutcome`]. The modules, each listed after those that it imports:
 //!
 //! - `connection`: an HTTP/1.1 connection and the incarnation of the endpoint that it was opened to;
 //! - `idle`, `endpoints`: the idle connections to an endpoint, and the directory of endpoints;
--- a/src/node/upstream/pool.rs
+++ b/src/node/upstream/pool.rs
@@ -73,17 +73,19 @@
         self.endpoints.borrow_mut().apply_snapshot(list);
     }
 
-    /// Applies a delta, the endpoints that have changed, like [`UpstreamPool::apply_snapshot`].
+    /// Applies a delta, which lists only the endpoints that have changed. Closes the same idle connections as
+    /// [`UpstreamPool::apply_snapshot`].
     pub fn apply_delta(&self, list: impl Iterator<Item = ListedEndpoint>) {
         self.endpoints.borrow_mut().apply_delta(list);
     }
 
-    /// Puts an endpoint into maintenance: it gets no new requests, regardless of the endpoint list.
+    /// Puts an endpoint in maintenance: it gets no new requests, regardless of the endpoint list.
     pub fn enter_maintenance(&self, endpoint: EndpointId) {
         self.endpoints.borrow_mut().enter_maintenance(endpoint);
     }
 
-    /// Ends the maintenance of an endpoint: it gets requests again while it is ready, on new connections.
+    /// Ends the maintenance of an endpoint: it gets requests again while it is ready, but only on new
+    /// connections.
     pub fn exit_maintenance(&self, endpoint: EndpointId) {
         self.endpoints.borrow_mut().exit_maintenance(endpoint);
     }
@@ -189,8 +191,8 @@
         self.stale_connections.record_break(origin);
     }
 
-    /// Records that an endpoint has rejected a request and closes the connection. Endpoints do so when they
-    /// have too many connections.
+    /// Records that an endpoint has rejected a request on a connection of this origin, which the endpoint
+    /// closes. Endpoints do so when they have too many connections.
     pub(super) fn record_connection_rejected(&self, origin: ConnectionOrigin) {
         match origin {
             ConnectionOrigin::New => self.idle_timeout.record_new_connection_rejected(),
--- a/src/node/upstream/request.rs
+++ b/src/node/upstream/request.rs
@@ -13,7 +13,7 @@
 
 /// Interval of the check whether the endpoint still reads the body that is sent to it.
 const UPLOAD_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Minimum time without progress of the upload after which the attempt fails.
+/// Minimum time for which the endpoint has to read nothing of the body before the attempt fails.
 const MIN_UPLOAD_STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A request as attempts send it to endpoints.
@@ -33,7 +33,7 @@
     /// Whether the request must never be executed more than once.
     pub non_idempotent: bool,
     /// Time from which on no attempt may begin, because endpoints may no longer remember that they have
-    /// executed the request.
+    /// executed the request. `None` if there is no such limit.
     pub begin_by: Cell<Option<Instant>>,
     /// Whether the client has disconnected. Attempts that have written nothing yet are then not sent.
     pub client_disconnected: Cell<bool>,
@@ -58,8 +58,8 @@
         self.body.is_replayable() && !self.client_disconnected.get() && in_time
     }
 
-    /// Waits until the client no longer waits for a response, or until the endpoint has stopped reading the
-    /// body.
+    /// Waits until the client has stopped waiting for the response, or until the endpoint has stopped reading
+    /// the body.
     pub(super) async fn expired(&self) {
         loop {
             if let Some(received_at) = self.received_at() {
--- a/src/node/upstream/response.rs
+++ b/src/node/upstream/response.rs
@@ -10,7 +10,7 @@
 /// How the end of a response is determined.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ResponseFraming {
-    /// By a length or by a last chunk. The connection can be reused.
+    /// By `Content-Length` or by the last chunk. The connection can be reused.
     SelfDelimited,
     /// By the close of the connection, which `Connection: close` announces.
     UntilClose,
@@ -60,7 +60,8 @@
 }
 
 impl StreamingResponse {
-    /// Converts the response into the body for the client. Calls `on_end` with the outcome of the attempt.
+    /// Converts the response into the body for the client. When the transfer ends, calls `on_end` with the
+    /// outcome of the attempt.
     pub fn into_body(self, on_end: impl FnOnce(Outcome) + 'static) -> ResponseBody {
         let StreamingResponse { prefix, rest, lease, keeps_connection } = self;
         ResponseBody::streaming(StreamingResponseBody::new(prefix, rest, move |end| match end {
--- a/src/node/upstream/stale_connections.rs
+++ b/src/node/upstream/stale_connections.rs
@@ -14,15 +14,17 @@
 //! e = b ln((b / u) / p) + (u - b) ln(((u - b) / u) / (1 - p))
 //!
 //! p     baseline: estimated probability that a connection that is new or has a shorter idle time breaks
-//! e     evidence: logarithm of the ratio of two likelihoods, that connections with this idle time or a
-//!       longer one break at a rate of their own, and that they break at the baseline rate
+//! e     evidence: natural logarithm of the ratio of two likelihoods, that connections with this idle time
+//!       or a longer one break at a rate of their own, and that they break at the baseline rate. A term whose
+//!       count, b or u - b, is 0 is left out.
 //! u, b  uses and breaks in bucket i and all later ones
 //! U, B  uses and breaks in all earlier buckets and of new connections
 //! ```
 //!
 //! The limit is the start of the bucket with the largest `e` among those with `e >= MIN_EVIDENCE` and
-//! `b > (p + margin) u`. One limit is enough, because a connection that is stale after some idle time is also
-//! stale after a longer one.
+//! `b > (p + margin) u`, where `margin` is [`NON_IDEMPOTENT_MARGIN`] for non-idempotent requests and
+//! [`HANDSHAKE_MARGIN`] for others. One limit is enough, because a connection that is stale after some idle
+//! time is also stale after a longer one.
 
 use std::cell::RefCell;
 use std::ops::Add;
@@ -44,7 +46,7 @@
 /// Prior of the baseline: one break in this many uses, because connections occasionally break everywhere.
 const PRIOR_USES: f64 = 20.0;
 /// Minimum evidence for a limit, as the natural logarithm of a likelihood ratio. A node of a large fleet gets
-/// few requests per second, so that a single break is not enough evidence for it.
+/// few requests per second, and a single break at such a node must not set a limit.
 const MIN_EVIDENCE: f64 = 4.0;
 /// Minimum number of uses in a bucket for its idle times to count as tried.
 const MIN_TRIED_USES: f64 = 0.5;
@@ -142,14 +144,14 @@
         }
     }
 
-    /// Returns the idle time up to which a connection may be reused for a non-idempotent request or for other
-    /// requests. [`Duration::MAX`] means that there is no limit.
+    /// Returns the idle time up to which a connection is as good as a new one, for a non-idempotent request
+    /// or for other requests. [`Duration::MAX`] means that there is no limit.
     pub fn max_idle(&self, non_idempotent: bool) -> Duration {
         let margin = if non_idempotent { NON_IDEMPOTENT_MARGIN } else { HANDSHAKE_MARGIN };
         let reused = self.reused.borrow().map(|bucket| bucket.current());
         let Some(mut bucket) = self.first_stale_bucket(&reused, margin) else { return Duration::MAX };
-        // Connections with shorter idle times that have not been tried may be stale too. Other requests try
-        // them.
+        // Connections with shorter idle times may be stale too if these idle times have not been tried. Other
+        // requests try them.
         while non_idempotent && bucket > 0 && reused[bucket - 1].total < MIN_TRIED_USES {
             bucket -= 1;
         }
--- a/tests/node/client_disconnects.rs
+++ b/tests/node/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect while their requests wait: these requests are not sent to an endpoint any more.
+//! Clients that disconnect while their requests wait: these requests are no longer sent to an endpoint.
 
 use std::io::Write;
 use std::net::TcpListener;
@@ -108,8 +108,9 @@
     assert!(listener.accept().is_err(), "a connection was opened for a request without a client");
 }
 
-/// The close of a connection follows its bytes, and those of a body that is too large to buffer stay in the
-/// kernel until an endpoint gets the body. The node must not send the whole request all the same.
+/// The close of a connection follows its bytes, and the bytes of a body that is too large to buffer stay in
+/// the kernel's receive buffer until an endpoint gets the body. The node may notice the close only after it
+/// has read them, and must still not send the whole request.
 #[test]
 fn an_unread_body_of_a_disconnected_client_is_not_sent_completely() {
     for chunked in [false, true] {
--- a/tests/node/connection_limits.rs
+++ b/tests/node/connection_limits.rs
@@ -35,8 +35,8 @@
     let node = Node::with_sockets(&[ready_endpoint("a", &upstream)], 128);
     let mut clients: Vec<Connection> = (0..40).map(|_| node.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&request("GET", "/view/1", "9", "", "")));
-    // The limit would allow half as many connections again, but an idle connection holds a permit that
-    // another client needs.
+    // The limit on open connections would allow half as many again, but an idle connection uses up capacity
+    // that another client needs.
     let mut next_client = node.client();
     assert_eq!(next_client.exchange(HEALTH_REQUEST).header("connection"), Some("close"));
     assert!(next_client.is_closed());
@@ -53,7 +53,7 @@
     pause_before_reuse();
     pause_before_reuse();
     let _new_clients: Vec<Connection> = (0..50).map(|_| node.client()).collect();
-    // This client is accepted after the others, so the node has closed idle connections for them by then.
+    // This client is accepted after the others, so the node has already closed idle connections for them.
     let health = HEALTH_REQUEST;
     assert_eq!(node.client().exchange(health).status(), 200);
     slow_client.send(&text[30..]);
--- a/tests/node/connection_setup.rs
+++ b/tests/node/connection_setup.rs
@@ -9,8 +9,9 @@
 
 use crate::support::*;
 
-/// Accepts all connections to the listener, and asserts that no request arrives on any of them before the
-/// node has responded to another request.
+/// Accepts all connections to the listener, and asserts that no request arrives on any of them. The first
+/// `backlog` connections are not from the node. The node responds to another request in between, so that it
+/// has had time to send one.
 fn assert_no_request_arrives(listener: &TcpListener, backlog: usize, node: &Node) {
     for _ in 0..backlog {
         drop(accept_connection(listener));
--- a/tests/node/request_validation.rs
+++ b/tests/node/request_validation.rs
@@ -31,7 +31,7 @@
         ("no class", request("GET", "/", "1", "", "")),
         ("POST to an idempotent class", request("POST", "/view/1", "1", "", "x")),
         ("GET to a class with a key", request("GET", "/submit/1", "1", "", "")),
-        ("a class with a key without it", request("POST", "/submit/1", "1", "", "x")),
+        ("no key for a class with a key", request("POST", "/submit/1", "1", "", "x")),
         (
             "a non-idempotent class with a key",
             request("POST", "/order/1", "1", "Idempotency-Key: 1\r\n", "x"),
--- a/tests/node/slow_peers.rs
+++ b/tests/node/slow_peers.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_streaming_response_is_forwarded_as_it_arrives_past_its_deadline() {
+fn a_streamed_response_is_forwarded_as_it_arrives_even_past_its_deadline() {
     let body = random_bytes(300_000);
     let mut pieces = vec![ok_with_body("", &body)];
     let rest = pieces[0].split_off(1000);
@@ -99,10 +99,10 @@
     );
     let mut rest = Vec::new();
     while rest.len() < body.len() || !rest.ends_with(&body[body.len() - 100..]) {
-        let mut some = [0; 65536];
-        let length = client.stream.read(&mut some).unwrap();
+        let mut buffer = [0; 65536];
+        let length = client.stream.read(&mut buffer).unwrap();
         assert!(length > 0, "the response ends after {} bytes", rest.len());
-        rest.extend_from_slice(&some[..length]);
+        rest.extend_from_slice(&buffer[..length]);
     }
     assert!(rest.ends_with(&body));
     assert!(started.elapsed() > Duration::from_secs(4), "the response ends long after its deadline");
@@ -120,8 +120,8 @@
 
 #[test]
 fn a_slow_transfer_does_not_count_as_load() {
-    // 12 responses of one endpoint wait for their clients to read them. They are no longer work for the
-    // endpoint.
+    // 12 clients have not read the responses of one endpoint. The endpoint has already executed these
+    // requests, so they are no load any more.
     let body = random_bytes(6_000_000);
     let upstream = UpstreamServer::new(move |_, request| match request.start_line.contains("large") {
         true => Reply::Send(ok_with_body("", &body)),
--- a/tests/node/upstream_responses.rs
+++ b/tests/node/upstream_responses.rs
@@ -76,11 +76,11 @@
 }
 
 /// Minimum idle time after a response before the node reuses a connection.
-const REUSE_DELAY: Duration = Duration::from_millis(10);
+const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(10);
 
-/// Starts an endpoint that sends a surplus response this long after each response. The returned receiver
-/// gets, for each pair, whether both were sent within [`REUSE_DELAY`]. On a busy machine the surplus response
-/// may be sent later, and the node cannot distinguish it from the response to its next request then.
+/// Starts an endpoint that sends a surplus response `delay` after each response. The returned receiver gets,
+/// for each pair, whether both were sent within [`MIN_IDLE_BEFORE_REUSE`]. On a busy machine the surplus
+/// response may be sent later, and then the node cannot distinguish it from the response to its next request.
 fn upstream_with_surplus_responses(delay: Duration) -> (SocketAddr, Receiver<bool>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -96,7 +96,7 @@
                     connection.send(&response(200, "", &count.fetch_add(1, Ordering::SeqCst).to_string()));
                     thread::sleep(delay);
                     connection.send(&response(200, "", "stale"));
-                    let _ = sender.send(started.elapsed() < REUSE_DELAY);
+                    let _ = sender.send(started.elapsed() < MIN_IDLE_BEFORE_REUSE);
                 }
             });
         }
