--- a/tests/node/admin.rs
+++ b/tests/node/admin.rs
@@ -14,7 +14,7 @@
 
 #[test]
 fn rejects_invalid_requests_without_changing_state() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir());
     assert_eq!(node.admin_request("GET", "/status", "").status(), 200);
     let enter = "/maintenance/enter";
@@ -59,7 +59,7 @@
 
 #[test]
 fn stalled_callers_and_busy_clients_do_not_delay_commands() {
-    let upstream = UpstreamServer::new(|_, _| Reply::Never);
+    let upstream = ScriptedEndpoint::new(|_, _| Reply::Never);
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 64, &state_dir());
     let mut clients: Vec<Connection> = (0..200).map(|_| node.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&request("GET", "/view/1", "9", "", "")));
@@ -80,7 +80,7 @@
 
 #[test]
 fn ignores_and_replaces_an_invalid_state_file() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let other_version =
         json!({"version": 2, "orders": {"starts": 1, "standby": true, "maintenance": [], "returned": {}}});
     let missing_fields = json!({"version": 1, "orders": {"starts": 1, "standby": true}});
@@ -99,7 +99,7 @@
 
 #[test]
 fn a_command_whose_state_cannot_be_written_fails_and_changes_nothing() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let state_dir = state_dir();
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir);
     wait_until("the process start is stored", || state_file(&state_dir).exists());
--- a/tests/node/client_disconnects.rs
+++ b/tests/node/client_disconnects.rs
@@ -338,7 +338,7 @@
 
 #[test]
 fn a_disconnect_cancels_the_attempt() {
-    let upstream = UpstreamServer::new(|_, _| Reply::Never);
+    let upstream = ScriptedEndpoint::new(|_, _| Reply::Never);
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let mut client = node.client();
     client.send(&view_request());
--- a/tests/node/configuration.rs
+++ b/tests/node/configuration.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn optional_configuration_may_be_absent() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let node = Node::with_config(&[ready_endpoint("a", &upstream)], |config| {
         for list in ["parties", "zones", "skus", "zone"] {
             config["settings"].as_object_mut().unwrap().remove(list);
--- a/tests/node/connection_limits.rs
+++ b/tests/node/connection_limits.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn idle_client_connections_are_closed_for_new_clients() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let node = Node::with_sockets(&[ready_endpoint("a", &upstream)], 64);
     let idle_clients: Vec<Connection> = (0..200).map(|_| node.client()).collect();
     // New clients may be rejected while idle connections are closed, but they get a response, and one of them
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_new_connection_is_not_closed_before_its_first_request() {
-    let upstream = UpstreamServer::new(|_, _| Reply::Never);
+    let upstream = ScriptedEndpoint::new(|_, _| Reply::Never);
     let node = Node::with_sockets(&[ready_endpoint("a", &upstream)], 64);
     // There is no idle connection to close: the clients with pending requests use up the limit, and the new
     // clients exceed it.
@@ -31,7 +31,7 @@
 
 #[test]
 fn connections_are_closed_after_their_response_well_below_the_limit() {
-    let upstream = UpstreamServer::new(|_, _| Reply::Never);
+    let upstream = ScriptedEndpoint::new(|_, _| Reply::Never);
     let node = Node::with_sockets(&[ready_endpoint("a", &upstream)], 128);
     let mut clients: Vec<Connection> = (0..40).map(|_| node.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&request("GET", "/view/1", "9", "", "")));
@@ -44,7 +44,7 @@
 
 #[test]
 fn the_connection_of_a_partial_request_stays_open_when_many_clients_connect() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let node = Node::with_sockets(&[ready_endpoint("a", &upstream)], 128);
     let mut slow_client = node.client();
     assert_eq!(slow_client.exchange(&view_request()).body, b"slip");
@@ -62,7 +62,7 @@
 
 #[test]
 fn the_node_keeps_serving_when_descriptors_are_exhausted() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let node = Node::with_descriptor_limit(&[ready_endpoint("a", &upstream)], 48);
     let idle_clients: Vec<Connection> = (0..100).map(|_| node.client()).collect();
     assert!((0..1000).any(|_| node.client().exchange(&view_request()).status() == 200));
--- a/tests/node/connection_setup.rs
+++ b/tests/node/connection_setup.rs
@@ -31,7 +31,7 @@
 #[test]
 fn a_waiting_request_moves_to_another_endpoint_when_its_endpoint_drains() {
     let (full_listener, backlog) = listener_with_full_backlog();
-    let other = UpstreamServer::new(|_, _| ok("other"));
+    let other = ScriptedEndpoint::new(|_, _| ok("other"));
     let node = Node::with_config(&[listening_endpoint("a", &full_listener, "ready")], |config| {
         config["settings"]["allowed"]["connect_timeout_us"] = 5_000_000.into();
     });
@@ -55,7 +55,7 @@
 #[test]
 fn a_waiting_request_moves_to_another_endpoint_when_its_endpoint_enters_maintenance() {
     let (full_listener, backlog) = listener_with_full_backlog();
-    let other = UpstreamServer::new(|_, _| ok("other"));
+    let other = ScriptedEndpoint::new(|_, _| ok("other"));
     let state_dir = state_dir();
     let node =
         Node::with_admin_config(&[listening_endpoint("a", &full_listener, "ready")], &state_dir, |config| {
--- a/tests/node/discovery.rs
+++ b/tests/node/discovery.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn a_broken_watch_is_reopened_from_the_last_revision() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let node = Node::start(&[]);
     assert_eq!(node.client().exchange(HEALTH_REQUEST).status(), 503);
     assert_eq!(node.client().exchange(&view_request()).status(), 503);
@@ -35,7 +35,8 @@
 /// too.
 #[test]
 fn a_third_watch_follows_two_silent_ones_within_six_seconds() {
-    let (known, other) = (UpstreamServer::new(|_, _| ok("known")), UpstreamServer::new(|_, _| ok("other")));
+    let (known, other) =
+        (ScriptedEndpoint::new(|_, _| ok("known")), ScriptedEndpoint::new(|_, _| ok("other")));
     let node = Node::start(&[ready_endpoint("a", &known)]);
     let mut first = Watch::accept(&node.discovery);
     first.send_line("");
@@ -52,7 +53,7 @@
 /// was opened.
 #[test]
 fn reconnects_stay_less_than_two_seconds_apart_while_discovery_is_down() {
-    let upstream = UpstreamServer::new(|_, _| ok("known"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("known"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let mut connections = vec![(accept_connection(&node.discovery), Instant::now())];
     for _ in 0..8 {
@@ -64,7 +65,7 @@
 
 #[test]
 fn a_watch_whose_list_never_ends_is_reopened() {
-    let upstream = UpstreamServer::new(|_, _| ok("known"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("known"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     Watch::accept(&node.discovery).repeat_chunk(" ");
     Watch::accept(&node.discovery).keep_alive();
@@ -73,7 +74,7 @@
 
 #[test]
 fn a_node_serves_from_its_configured_list_while_discovery_closes_connections() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir());
     assert_eq!((node.health(), node.admin_request("GET", "/status", "").status()), (200, 200));
     // Each connection is closed at once. The next one must not follow at once, and the delays must vary so
--- a/tests/node/endpoint_lists.rs
+++ b/tests/node/endpoint_lists.rs
@@ -9,7 +9,7 @@
 /// Maximum number of endpoints of a deployment; in these lists all have one address.
 const ENDPOINT_COUNT: usize = 1024;
 
-fn endpoint_entries(prefix: &str, upstream: &UpstreamServer, state: &str) -> Vec<Value> {
+fn endpoint_entries(prefix: &str, upstream: &ScriptedEndpoint, state: &str) -> Vec<Value> {
     (0..ENDPOINT_COUNT)
         .map(|n| endpoint_entry(&format!("{prefix}-{n}"), upstream.address, (n / 8) as u16, state))
         .collect()
@@ -18,7 +18,7 @@
 #[test]
 fn applies_lists_of_1024_endpoints_in_every_form_in_bounded_memory() {
     let [known, pushed, late] =
-        ["known", "pushed", "late"].map(|body| UpstreamServer::new(move |_, _| ok(body)));
+        ["known", "pushed", "late"].map(|body| ScriptedEndpoint::new(move |_, _| ok(body)));
     let node = Node::start(&endpoint_entries("k", &known, "ready"));
     assert!(serves_every_class(&node, "known"));
     let mut watch = Watch::accept(&node.discovery);
@@ -41,7 +41,8 @@
 
 #[test]
 fn an_invalid_or_stale_list_changes_nothing_and_reopens_the_watch() {
-    let (known, other) = (UpstreamServer::new(|_, _| ok("known")), UpstreamServer::new(|_, _| ok("other")));
+    let (known, other) =
+        (ScriptedEndpoint::new(|_, _| ok("known")), ScriptedEndpoint::new(|_, _| ok("other")));
     let node = Node::start(&[ready_endpoint("a", &known)]);
     let snapshot = list_message(60, true, &[ready_endpoint("b", &other)]);
     let indented = serde_json::to_string_pretty(&snapshot).unwrap();
@@ -70,7 +71,7 @@
 
 #[test]
 fn a_draining_endpoint_gets_no_new_requests_and_its_idle_connections_close() {
-    let (one, two) = (UpstreamServer::new(|_, _| ok("one")), UpstreamServer::new(|_, _| ok("two")));
+    let (one, two) = (ScriptedEndpoint::new(|_, _| ok("one")), ScriptedEndpoint::new(|_, _| ok("two")));
     let node = Node::start(&[ready_endpoint("a", &one), endpoint_entry("b", two.address, 1, "draining")]);
     let mut watch = Watch::accept(&node.discovery);
     assert_eq!(watch.request.start_line, "GET /catalog/members?watch=1&from=41 HTTP/1.1");
@@ -94,7 +95,7 @@
 
 #[test]
 fn an_endpoint_is_reached_at_its_new_address() {
-    let (old, new) = (UpstreamServer::new(|_, _| ok("old")), UpstreamServer::new(|_, _| ok("new")));
+    let (old, new) = (ScriptedEndpoint::new(|_, _| ok("old")), ScriptedEndpoint::new(|_, _| ok("new")));
     let node = Node::start(&[ready_endpoint("a", &old)]);
     let mut watch = Watch::accept(&node.discovery);
     assert_eq!(node.client().exchange(&view_request()).body, b"old");
@@ -105,7 +106,7 @@
 
 #[test]
 fn a_restarted_endpoint_gets_new_connections() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let mut watch = Watch::accept(&node.discovery);
     assert_eq!(node.client().exchange(&view_request()).status(), 200);
--- a/tests/node/forwarding.rs
+++ b/tests/node/forwarding.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn forwards_requests_unchanged_and_reuses_connections() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let mut client = node.client();
     for id in ["9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42"] {
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_connection_header_cannot_remove_end_to_end_headers() {
-    let upstream = UpstreamServer::new(|_, _| ok("noted"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("noted"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let extra_headers =
         "Idempotency-Key: 5c0f\r\nConnection: keep-alive, Idempotency-Key, Req-Id, X-Hop\r\nX-Hop: 1\r\n";
@@ -40,7 +40,7 @@
 #[test]
 fn answers_expect_100_continue() {
     let upstream =
-        UpstreamServer::new(|_, request| Reply::Send(response(200, "", &request.body.len().to_string())));
+        ScriptedEndpoint::new(|_, request| Reply::Send(response(200, "", &request.body.len().to_string())));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     for length in [3, 200_000] {
         let mut client = node.client();
@@ -54,7 +54,7 @@
 
 #[test]
 fn an_absolute_form_target_is_forwarded_in_origin_form() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let text = String::from_utf8(view_request()).unwrap().replace("GET /", "GET http://origin.svc/");
     assert_eq!(node.client().exchange(text.as_bytes()).body, b"slip");
--- a/tests/node/hot_restart.rs
+++ b/tests/node/hot_restart.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn hot_restart_loses_no_request() {
-    let upstream = UpstreamServer::new(|count, _| match count {
+    let upstream = ScriptedEndpoint::new(|count, _| match count {
         0 => Reply::SendDelayed(Vec::new(), Duration::from_millis(1500), response(200, "", "slip")),
         _ => ok("slip"),
     });
@@ -45,7 +45,7 @@
 
 #[test]
 fn the_old_process_leaves_the_backlog_to_its_successor() {
-    let upstream = UpstreamServer::new(|count, _| match count {
+    let upstream = ScriptedEndpoint::new(|count, _| match count {
         0 => Reply::SendDelayed(Vec::new(), Duration::from_millis(1000), response(200, "", "slip")),
         _ => ok("slip"),
     });
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_process_without_endpoints_accepts_no_connections() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
     let new = Node::with_inherited_listener(&[], &listener, &state_dir);
     assert_eq!(new.admin_request("GET", "/status", "").status(), 503);
@@ -84,7 +84,7 @@
 
 #[test]
 fn concurrent_commands_to_both_processes_all_take_effect() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let targets: Vec<Value> = names.iter().map(|uid| ready_endpoint(uid, &upstream)).collect();
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
@@ -101,7 +101,7 @@
 
 #[test]
 fn admin_state_outlives_a_process_and_applies_to_both() {
-    let (one, two) = (UpstreamServer::new(|_, _| ok("one")), UpstreamServer::new(|_, _| ok("two")));
+    let (one, two) = (ScriptedEndpoint::new(|_, _| ok("one")), ScriptedEndpoint::new(|_, _| ok("two")));
     let targets = [ready_endpoint("a", &one), ready_endpoint("b", &two)];
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
     let mut old = Node::with_inherited_listener(&targets, &listener, &state_dir);
@@ -130,7 +130,7 @@
 
 #[test]
 fn exits_with_an_error_on_an_invalid_inherited_socket() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
     let old = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
     let config = old.config_with_discovery(&old.discovery);
@@ -161,7 +161,7 @@
 #[test]
 fn two_processes_together_stay_within_the_descriptor_limit() {
     const SOCKETS: usize = 160;
-    let upstream = UpstreamServer::new(|_, _| Reply::Never);
+    let upstream = ScriptedEndpoint::new(|_, _| Reply::Never);
     let targets: Vec<Value> = (0..12).map(|n| ready_endpoint(&format!("s{n}"), &upstream)).collect();
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
     let old = Node::with_inherited_listener_and_sockets(&targets, &listener, &state_dir, SOCKETS);
--- a/tests/node/idle_connections.rs
+++ b/tests/node/idle_connections.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn an_idle_connection_closed_by_the_endpoint_is_not_reused() {
-    let upstream = UpstreamServer::new(|_, _| Reply::SendAndClose(response(200, "", "paid")));
+    let upstream = ScriptedEndpoint::new(|_, _| Reply::SendAndClose(response(200, "", "paid")));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     for number in 0..3 {
         assert_eq!(node.client().exchange(&order_request()).status(), 200);
@@ -24,7 +24,7 @@
 fn idle_connections_close_early_when_an_endpoint_rejects_new_ones() {
     let pending_response = Arc::new(Barrier::new(2));
     let (barrier, reject_headers) = (pending_response.clone(), "Srv-Declined: 1\r\nConnection: close\r\n");
-    let upstream = UpstreamServer::by_connection(move |connection, request| {
+    let upstream = ScriptedEndpoint::by_connection(move |connection, request| {
         if connection > 0 {
             return Reply::SendAndClose(response(503, reject_headers, ""));
         }
@@ -48,7 +48,7 @@
 fn idle_connections_to_an_unresponsive_endpoint_are_not_reused() {
     // Two concurrent requests leave two idle connections. Afterwards the endpoint does not respond on either.
     let both_requests = Arc::new(Barrier::new(2));
-    let upstream = UpstreamServer::new(move |count, _| match count {
+    let upstream = ScriptedEndpoint::new(move |count, _| match count {
         0 | 1 => {
             both_requests.wait();
             ok("slip")
@@ -72,7 +72,7 @@
     // Each connection serves its first request and breaks during its second one.
     let used = Mutex::new(HashSet::new());
     let upstream =
-        UpstreamServer::by_connection(move |connection, _| match used.lock().unwrap().insert(connection) {
+        ScriptedEndpoint::by_connection(move |connection, _| match used.lock().unwrap().insert(connection) {
             true => ok("paid"),
             false => Reply::SendAndClose(Vec::new()),
         });
@@ -92,7 +92,7 @@
 fn connections_are_reused_up_to_the_idle_time_at_which_they_break() {
     let idle_limit = Duration::from_millis(500);
     let last_used = Mutex::new(HashMap::new());
-    let upstream = UpstreamServer::by_connection(move |connection, _| {
+    let upstream = ScriptedEndpoint::by_connection(move |connection, _| {
         let before: Option<Instant> = last_used.lock().unwrap().insert(connection, Instant::now());
         match before.is_some_and(|at| at.elapsed() > idle_limit) {
             true => Reply::SendAndClose(Vec::new()),
--- a/tests/node/large_bodies.rs
+++ b/tests/node/large_bodies.rs
@@ -25,7 +25,7 @@
 #[test]
 fn large_bodies_are_forwarded_unchanged_in_every_framing() {
     let body = random_bytes(5_000_000);
-    let echo = |encode: fn(&[u8]) -> Reply| UpstreamServer::new(move |_, request| encode(&request.body));
+    let echo = |encode: fn(&[u8]) -> Reply| ScriptedEndpoint::new(move |_, request| encode(&request.body));
     let upstreams = [
         echo(|body| Reply::Send(ok_with_body("", body))),
         echo(|body| {
@@ -95,7 +95,7 @@
     let large = random_bytes(300_000);
     for (body, status) in [(&large[..1000], 200), (&large[..], 502)] {
         let attempts = AtomicUsize::new(0);
-        let upstream = UpstreamServer::new(move |_, _| match attempts.fetch_add(1, Ordering::SeqCst) {
+        let upstream = ScriptedEndpoint::new(move |_, _| match attempts.fetch_add(1, Ordering::SeqCst) {
             0 => Reply::SendAndClose(Vec::new()),
             _ => ok("noted"),
         });
@@ -156,7 +156,7 @@
 
 #[test]
 fn retries_a_large_request_elsewhere_if_none_of_its_body_was_sent() {
-    let upstream = UpstreamServer::new(|_, _| ok("noted"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("noted"));
     let node =
         Node::start(&[endpoint_entry("a", refusing_address(), 1, "ready"), ready_endpoint("b", &upstream)]);
     let body = random_bytes(300_000);
@@ -175,7 +175,7 @@
     let sized = [b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n", &body[..]].concat();
     let encoded = [&b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nF4240\r\n"[..], &body].concat();
     for bytes in [sized, encoded] {
-        let upstream = UpstreamServer::new(move |_, _| Reply::SendAndClose(bytes.clone()));
+        let upstream = ScriptedEndpoint::new(move |_, _| Reply::SendAndClose(bytes.clone()));
         let node = Node::start(&[ready_endpoint("a", &upstream)]);
         let mut client = node.client();
         client.send(&view_request());
--- a/tests/node/maintenance.rs
+++ b/tests/node/maintenance.rs
@@ -10,11 +10,11 @@
 #[test]
 fn an_endpoint_in_maintenance_gets_no_requests_whatever_discovery_reports() {
     let request_number = AtomicUsize::new(0);
-    let one = UpstreamServer::new(move |_, _| match request_number.fetch_add(1, Ordering::SeqCst) {
+    let one = ScriptedEndpoint::new(move |_, _| match request_number.fetch_add(1, Ordering::SeqCst) {
         1 => Reply::SendDelayed(Vec::new(), Duration::from_millis(1500), response(200, "", "late")),
         _ => ok("one"),
     });
-    let two = UpstreamServer::new(|_, _| ok("two"));
+    let two = ScriptedEndpoint::new(|_, _| ok("two"));
     let node = Node::with_admin(
         &[ready_endpoint("a", &one), endpoint_entry("b", two.address, 1, "draining")],
         1024,
@@ -59,7 +59,7 @@
 
 #[test]
 fn an_idle_node_uses_an_endpoint_again_after_maintenance() {
-    let upstreams: Vec<UpstreamServer> = (0..4).map(|_| UpstreamServer::new(|_, _| ok("slip"))).collect();
+    let upstreams: Vec<ScriptedEndpoint> = (0..4).map(|_| ScriptedEndpoint::new(|_, _| ok("slip"))).collect();
     let names = ["a", "b", "c", "d"];
     let list: Vec<Value> = names.iter().zip(&upstreams).map(|(uid, s)| ready_endpoint(uid, s)).collect();
     let node = Node::with_admin(&list, 1024, &state_dir());
@@ -76,7 +76,7 @@
 
 #[test]
 fn connections_from_before_maintenance_are_not_reused() {
-    let upstream = UpstreamServer::new(|count, _| match count {
+    let upstream = ScriptedEndpoint::new(|count, _| match count {
         0 => Reply::SendDelayed(Vec::new(), Duration::from_millis(1000), response(200, "", "slip")),
         _ => ok("slip"),
     });
--- a/tests/node/memory_limits.rs
+++ b/tests/node/memory_limits.rs
@@ -12,7 +12,7 @@
 #[test]
 fn memory_is_bounded_while_large_bodies_stream() {
     const BODY_BYTES: usize = 12_000_000;
-    let upstream = UpstreamServer::new(|_, request| Reply::Send(ok_with_body("", &request.body)));
+    let upstream = ScriptedEndpoint::new(|_, request| Reply::Send(ok_with_body("", &request.body)));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let body = Arc::new(random_bytes(BODY_BYTES));
     let clients: Vec<_> = (0..24)
@@ -91,7 +91,7 @@
         true => Reply::Never,
         false => ok("slip"),
     };
-    let upstream = UpstreamServer::new(respond);
+    let upstream = ScriptedEndpoint::new(respond);
     let endpoints: Vec<_> = (0..ENDPOINTS).map(|n| ready_endpoint(&format!("s{n}"), &upstream)).collect();
     let node = Node::with_config(&endpoints, |config| config["limits"]["memory_mb"] = MEMORY_MIB.into());
     let _buffered: Vec<Connection> = (0..MEMORY_MIB * 2)
--- a/tests/node/rejection.rs
+++ b/tests/node/rejection.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn queued_requests_are_rejected_early_with_retry_after() {
-    let upstream = UpstreamServer::new(|_, _| Reply::Never);
+    let upstream = ScriptedEndpoint::new(|_, _| Reply::Never);
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     // The concurrency limit of the endpoint is lower than 8. Further requests are queued and never sent.
     let mut clients: Vec<Connection> = (0..8).map(|_| node.client()).collect();
--- a/tests/node/reload.rs
+++ b/tests/node/reload.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn sighup_moves_the_watch_and_keeps_requests_and_endpoints() {
-    let (one, two) = (UpstreamServer::new(|_, _| Reply::Never), UpstreamServer::new(|_, _| ok("two")));
+    let (one, two) = (ScriptedEndpoint::new(|_, _| Reply::Never), ScriptedEndpoint::new(|_, _| ok("two")));
     let node = Node::start(&[ready_endpoint("a", &one)]);
     let mut watch = Watch::accept(&node.discovery);
     watch.send_delta(57, &[]);
@@ -32,7 +32,7 @@
 /// Guards against a panic on a failed write to the log.
 #[test]
 fn a_closed_log_pipe_does_not_stop_the_node() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let node = Node::with_closed_log(&[ready_endpoint("a", &upstream)]);
     let new_discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     node.reload_config("{\"name\": 3}");
@@ -46,7 +46,7 @@
 /// without waiting for the backoff to end.
 #[test]
 fn polling_switches_to_a_new_discovery_address_at_once() {
-    let upstream = UpstreamServer::new(|_, _| ok("known"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("known"));
     let node = Node::with_config(&[ready_endpoint("a", &upstream)], |config| {
         config["settings"]["discovery"] = "subscribe".into();
         config["settings"]["obligations"]["ask_every_us"] = 20_000_000.into();
@@ -64,7 +64,8 @@
 
 #[test]
 fn sighup_drops_a_partially_read_endpoint_list() {
-    let (known, other) = (UpstreamServer::new(|_, _| ok("known")), UpstreamServer::new(|_, _| ok("other")));
+    let (known, other) =
+        (ScriptedEndpoint::new(|_, _| ok("known")), ScriptedEndpoint::new(|_, _| ok("other")));
     let node = Node::start(&[ready_endpoint("a", &known)]);
     let mut old = Watch::accept(&node.discovery);
     let indented =
--- a/tests/node/request_validation.rs
+++ b/tests/node/request_validation.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn invalid_requests_get_a_client_error_and_are_not_forwarded() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let without = |bytes: Vec<u8>, header: &str| {
         let text = String::from_utf8(bytes).unwrap();
@@ -50,7 +50,7 @@
 
 #[test]
 fn ambiguous_request_framing_is_rejected_and_closes_the_connection() {
-    let upstream = UpstreamServer::new(|_, _| ok("paid"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("paid"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let smuggled = String::from_utf8(order_request()).unwrap();
     let head = |lines: &str| {
@@ -88,7 +88,7 @@
 
 #[test]
 fn an_oversized_body_is_rejected_with_a_readable_413() {
-    let upstream = UpstreamServer::new(|_, _| ok("paid"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("paid"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let text = String::from_utf8(order_request()).unwrap();
     let with_length = text.replace("Content-Length: 3", "Content-Length: 60000000");
@@ -107,7 +107,7 @@
 
 #[test]
 fn rejects_the_request_id_of_an_open_request() {
-    let upstream = UpstreamServer::new(|count, _| if count == 0 { Reply::Never } else { ok("slip") });
+    let upstream = ScriptedEndpoint::new(|count, _| if count == 0 { Reply::Never } else { ok("slip") });
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let request = request_with_id("9b1f03aa5c7e2d41", "GET", "/view/1", "14", "", "");
     let mut first = node.client();
@@ -123,7 +123,7 @@
 
 #[test]
 fn a_request_of_an_unknown_tenant_is_served() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let text = String::from_utf8(view_request()).unwrap().replace("acme", "stranger");
     assert_eq!(node.client().exchange(text.as_bytes()).status(), 200);
--- a/tests/node/retries.rs
+++ b/tests/node/retries.rs
@@ -20,8 +20,8 @@
         Reply::Send(b"HTTP/1.1 200 OK\r\nContent-Length: 40000000\r\n\r\nxxx".to_vec()),
     ];
     for reply in replies {
-        let upstream = UpstreamServer::new(move |_, _| reply.clone());
-        let other = UpstreamServer::new(|_, _| Reply::SendAndClose(Vec::new()));
+        let upstream = ScriptedEndpoint::new(move |_, _| reply.clone());
+        let other = ScriptedEndpoint::new(|_, _| Reply::SendAndClose(Vec::new()));
         let node = Node::start(&[ready_endpoint("a", &upstream), ready_endpoint("b", &other)]);
         assert_eq!(node.client().exchange(&order_request()).status(), 502);
         assert_eq!(upstream.request_count() + other.request_count(), 1);
@@ -32,7 +32,7 @@
 fn a_non_idempotent_request_that_was_not_executed_is_retried() {
     let request_count = Arc::new(AtomicUsize::new(0));
     let upstream = |request_count: Arc<AtomicUsize>| {
-        UpstreamServer::new(move |_, _| match request_count.fetch_add(1, Ordering::SeqCst) {
+        ScriptedEndpoint::new(move |_, _| match request_count.fetch_add(1, Ordering::SeqCst) {
             0 => Reply::Send(response(503, "Srv-Declined: 1\r\n", "")),
             _ => ok("paid"),
         })
@@ -58,13 +58,13 @@
     for cells_named in [true, false] {
         let request_count = Arc::new(AtomicUsize::new(0));
         let upstream = |request_count: Arc<AtomicUsize>| {
-            UpstreamServer::new(move |_, _| match request_count.fetch_add(1, Ordering::SeqCst) {
+            ScriptedEndpoint::new(move |_, _| match request_count.fetch_add(1, Ordering::SeqCst) {
                 0 => Reply::SendAndClose(Vec::new()),
                 _ => ok("noted"),
             })
         };
-        let upstreams: Vec<UpstreamServer> = (0..4).map(|_| upstream(request_count.clone())).collect();
-        let entry = |(i, upstream): (usize, &UpstreamServer)| {
+        let upstreams: Vec<ScriptedEndpoint> = (0..4).map(|_| upstream(request_count.clone())).collect();
+        let entry = |(i, upstream): (usize, &ScriptedEndpoint)| {
             let mut entry = endpoint_entry(&format!("s-{i}"), upstream.address, i as u16 / 2, "ready");
             if !cells_named {
                 entry.as_object_mut().unwrap().remove("pod_group");
@@ -92,7 +92,7 @@
     let first_endpoints: Arc<Mutex<HashMap<String, usize>>> = Arc::default();
     let upstreams = [0, 1].map(|n| {
         let first_endpoints = first_endpoints.clone();
-        UpstreamServer::new(move |_, request| {
+        ScriptedEndpoint::new(move |_, request| {
             let id = request.header("req-id").unwrap().to_string();
             match first_endpoints.lock().unwrap().insert(id, n) {
                 None => Reply::SendAndClose(Vec::new()),
--- a/tests/node/shutdown.rs
+++ b/tests/node/shutdown.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_late_request_on_an_open_connection_is_answered_before_sigkill() {
-    let upstream = UpstreamServer::new(|_, _| Reply::Never);
+    let upstream = ScriptedEndpoint::new(|_, _| Reply::Never);
     // With 60 descriptors, partial requests use all connections, and the last clients stay in the backlog.
     let mut node = start_with_short_deadlines(&[ready_endpoint("a", &upstream)], 60);
     let order = order_request();
@@ -55,7 +55,7 @@
 /// At the shutdown deadline all connections close, and the node accepts those that remain in the backlog.
 #[test]
 fn connections_in_the_backlog_at_the_shutdown_deadline_are_answered() {
-    let upstream = UpstreamServer::new(|_, _| Reply::Never);
+    let upstream = ScriptedEndpoint::new(|_, _| Reply::Never);
     let mut node = start_with_short_deadlines(&[ready_endpoint("a", &upstream)], 36);
     let order = order_request();
     let mut partial: Vec<Connection> = (0..MAX_CLIENT_CONNECTIONS).map(|_| node.client()).collect();
@@ -83,7 +83,7 @@
 
 #[test]
 fn a_partially_read_request_at_sigterm_is_answered() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let mut node = start_with_short_deadlines(&[ready_endpoint("a", &upstream)], 1024);
     let (submit, view) = (submit_request(), view_request());
     let (mut head, mut body) = (node.client(), node.client());
@@ -146,7 +146,7 @@
 
 #[test]
 fn sigterm_with_exhausted_descriptors_answers_every_request() {
-    let upstream = UpstreamServer::new(|_, _| Reply::Never);
+    let upstream = ScriptedEndpoint::new(|_, _| Reply::Never);
     let mut node = Node::with_descriptor_limit(&[ready_endpoint("a", &upstream)], 48);
     let mut clients: Vec<Connection> = (0..60).map(|_| node.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&order_request()));
@@ -164,7 +164,7 @@
 
 #[test]
 fn sigterm_answers_every_request_and_closes_connections() {
-    let upstream = UpstreamServer::new(|count, _| if count == 1 { Reply::Never } else { ok("slip") });
+    let upstream = ScriptedEndpoint::new(|count, _| if count == 1 { Reply::Never } else { ok("slip") });
     let mut node = Node::start(&[ready_endpoint("a", &upstream)]);
     let (mut kept, mut waiting) = (node.client(), node.client());
     assert_eq!(kept.exchange(&view_request()).status(), 200);
@@ -194,7 +194,7 @@
     let rest = pieces[0].split_off(1_500_000);
     pieces.push(rest);
     let upstream =
-        UpstreamServer::new(move |_, _| Reply::SendInPieces(pieces.clone(), Duration::from_millis(2000)));
+        ScriptedEndpoint::new(move |_, _| Reply::SendInPieces(pieces.clone(), Duration::from_millis(2000)));
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
     let mut node = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
     let mut client = node.client();
--- a/tests/node/slow_peers.rs
+++ b/tests/node/slow_peers.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn incomplete_requests_time_out() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let started = Instant::now();
     let (mut silent, mut slow, mut incomplete, mut idle) =
@@ -32,7 +32,7 @@
 #[test]
 fn an_upload_times_out_only_without_progress() {
     let upstream =
-        UpstreamServer::new(|_, request| Reply::Send(response(200, "", &request.body.len().to_string())));
+        ScriptedEndpoint::new(|_, request| Reply::Send(response(200, "", &request.body.len().to_string())));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let (slow, stalled) = thread::scope(|scope| {
         let slow = scope.spawn(|| {
@@ -66,7 +66,7 @@
 
 #[test]
 fn the_head_timeout_starts_at_the_first_byte_of_the_head() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let mut client = node.client();
     assert_eq!(client.exchange(&view_request()).status(), 200);
@@ -87,7 +87,7 @@
     pieces.extend(rest.chunks(100_000).map(<[u8]>::to_vec));
     // Each pause is far longer than the timeout between the parts of a buffered response.
     let upstream =
-        UpstreamServer::new(move |_, _| Reply::SendInPieces(pieces.clone(), Duration::from_millis(1500)));
+        ScriptedEndpoint::new(move |_, _| Reply::SendInPieces(pieces.clone(), Duration::from_millis(1500)));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let mut client = node.client();
     let started = Instant::now();
@@ -113,7 +113,7 @@
     let pieces: Vec<Vec<u8>> = response(200, "", "slip").chunks(4).map(<[u8]>::to_vec).collect();
     assert!(pieces.len() > 8);
     let upstream =
-        UpstreamServer::new(move |_, _| Reply::SendInPieces(pieces.clone(), Duration::from_millis(100)));
+        ScriptedEndpoint::new(move |_, _| Reply::SendInPieces(pieces.clone(), Duration::from_millis(100)));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     assert_eq!(node.client().exchange(&order_request()).body, b"slip");
 }
@@ -123,7 +123,7 @@
     // 12 clients have not read the responses of one endpoint. The endpoint has already executed these
     // requests, so they are no load any more.
     let body = random_bytes(6_000_000);
-    let upstream = UpstreamServer::new(move |_, request| match request.start_line.contains("large") {
+    let upstream = ScriptedEndpoint::new(move |_, request| match request.start_line.contains("large") {
         true => Reply::Send(ok_with_body("", &body)),
         false => ok("slip"),
     });
--- a/tests/node/standby.rs
+++ b/tests/node/standby.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn standby_drains_the_node_without_losing_a_request() {
-    let upstream = UpstreamServer::new(|count, _| match count {
+    let upstream = ScriptedEndpoint::new(|count, _| match count {
         0 => Reply::SendDelayed(Vec::new(), Duration::from_millis(1200), response(200, "", "slip")),
         _ => ok("slip"),
     });
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_partial_request_is_served_in_standby() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir());
     let mut slow = node.client();
     assert_eq!(slow.exchange(&view_request()).status(), 200);
--- a/tests/node/upstream_responses.rs
+++ b/tests/node/upstream_responses.rs
@@ -13,7 +13,7 @@
 #[test]
 fn an_incomplete_response_is_not_forwarded() {
     let request_count = AtomicUsize::new(0);
-    let upstream = UpstreamServer::new(move |_, _| match request_count.fetch_add(1, Ordering::SeqCst) {
+    let upstream = ScriptedEndpoint::new(move |_, _| match request_count.fetch_add(1, Ordering::SeqCst) {
         0 => Reply::SendAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec()),
         _ => ok("whole"),
     });
@@ -29,7 +29,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n0\r\n\r\n",
     ];
     for head in heads {
-        let upstream = UpstreamServer::new(move |count, _| match count {
+        let upstream = ScriptedEndpoint::new(move |count, _| match count {
             0 => Reply::SendAndClose(head.into()),
             _ => ok("whole"),
         });
@@ -49,7 +49,7 @@
         b"HTT",
     ];
     for bytes in stalled_responses {
-        let upstream = UpstreamServer::new(move |_, _| Reply::Send(bytes.to_vec()));
+        let upstream = ScriptedEndpoint::new(move |_, _| Reply::Send(bytes.to_vec()));
         let node = Node::start(&[ready_endpoint("a", &upstream)]);
         let started = Instant::now();
         assert_eq!(
@@ -67,7 +67,7 @@
 fn informational_responses_and_malformed_load_headers_are_accepted() {
     let informational =
         b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n".to_vec();
-    let upstream = UpstreamServer::new(move |_, _| {
+    let upstream = ScriptedEndpoint::new(move |_, _| {
         let response = response(200, "Srv-Load: TEXT inflight=\u{fffd}, =,=%%\r\n", "paid");
         Reply::SendDelayed(informational.clone(), Duration::from_secs(1), response)
     });
@@ -144,7 +144,7 @@
 #[test]
 fn a_response_delimited_by_close_is_complete_only_after_a_clean_close() {
     let head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
-    let upstream = UpstreamServer::new(move |_, _| Reply::SendAndClose(format!("{head}slip").into_bytes()));
+    let upstream = ScriptedEndpoint::new(move |_, _| Reply::SendAndClose(format!("{head}slip").into_bytes()));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     assert_eq!(node.client().exchange(&order_request()).body, b"slip");
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/tests/node/version_upgrade.rs
+++ b/tests/node/version_upgrade.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn reads_and_keeps_the_state_file_format_of_the_previous_version() {
-    let upstream = UpstreamServer::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
     let targets = ["a", "b", "c"].map(|uid| ready_endpoint(uid, &upstream));
     let state_dir = state_dir();
     let path = state_dir.join(STATE_FILE_NAME);
@@ -121,17 +121,17 @@
 
 /// The endpoint "a", and the endpoints "b" and "c", which the test puts into maintenance.
 struct Endpoints {
-    serving: UpstreamServer,
-    in_maintenance: UpstreamServer,
+    serving: ScriptedEndpoint,
+    in_maintenance: ScriptedEndpoint,
 }
 
 impl Endpoints {
     fn new() -> Endpoints {
-        let serving = UpstreamServer::new(|_, request| match request.start_line.starts_with("POST") {
+        let serving = ScriptedEndpoint::new(|_, request| match request.start_line.starts_with("POST") {
             true => Reply::SendDelayed(Vec::new(), Duration::from_millis(2500), response(200, "", "late")),
             false => ok("one"),
         });
-        Endpoints { serving, in_maintenance: UpstreamServer::new(|_, _| ok("two")) }
+        Endpoints { serving, in_maintenance: ScriptedEndpoint::new(|_, _| ok("two")) }
     }
 
     fn list(&self) -> [Value; 3] {
--- a/tests/support/discovery.rs
+++ b/tests/support/discovery.rs
@@ -16,7 +16,7 @@
 }
 
 /// Returns the entry of a scripted endpoint that is ready.
-pub fn ready_endpoint(uid: &str, upstream: &UpstreamServer) -> Value {
+pub fn ready_endpoint(uid: &str, upstream: &ScriptedEndpoint) -> Value {
     endpoint_entry(uid, upstream.address, 1, "ready")
 }
 
--- a/tests/support/upstream.rs
+++ b/tests/support/upstream.rs
@@ -50,23 +50,25 @@
 impl<F: Fn(usize, &Message) -> Reply + Send + Sync + 'static> Script for F {}
 
 /// An endpoint that replies to requests as a script decides. It listens until the test process exits.
-pub struct UpstreamServer {
+pub struct ScriptedEndpoint {
     pub address: SocketAddr,
     requests: Arc<AtomicUsize>,
     events: Receiver<UpstreamEvent>,
 }
 
-impl UpstreamServer {
+impl ScriptedEndpoint {
     /// Starts an endpoint whose script gets the number of requests received before.
-    pub fn new(script: impl Fn(usize, &Message) -> Reply + Send + Sync + 'static) -> UpstreamServer {
+    pub fn new(script: impl Fn(usize, &Message) -> Reply + Send + Sync + 'static) -> ScriptedEndpoint {
         let count = AtomicUsize::new(0);
-        UpstreamServer::by_connection(move |_, request| script(count.fetch_add(1, Ordering::SeqCst), request))
+        ScriptedEndpoint::by_connection(move |_, request| {
+            script(count.fetch_add(1, Ordering::SeqCst), request)
+        })
     }
 
     /// Starts an endpoint whose script gets the number of the connection that carried the request.
     pub fn by_connection(
         script: impl Fn(usize, &Message) -> Reply + Send + Sync + 'static,
-    ) -> UpstreamServer {
+    ) -> ScriptedEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let (sender, events) = channel();
@@ -82,7 +84,7 @@
                 });
             }
         });
-        UpstreamServer { address, requests, events }
+        ScriptedEndpoint { address, requests, events }
     }
 
     /// Waits for the next request and returns it with the number of the connection that carried it.
