--- a/tests/node/admin.rs
+++ b/tests/node/admin.rs
@@ -14,7 +14,7 @@
 
 #[test]
 fn rejects_invalid_requests_without_changing_state() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir());
     assert_eq!(node.admin_request("GET", "/status", "").status(), 200);
     let enter = "/maintenance/enter";
@@ -80,7 +80,7 @@
 
 #[test]
 fn ignores_and_replaces_an_invalid_state_file() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let other_version =
         json!({"version": 2, "orders": {"starts": 1, "standby": true, "maintenance": [], "returned": {}}});
     let missing_fields = json!({"version": 1, "orders": {"starts": 1, "standby": true}});
@@ -99,7 +99,7 @@
 
 #[test]
 fn a_command_whose_state_cannot_be_written_fails_and_changes_nothing() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let state_dir = state_dir();
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir);
     wait_until("the process start is stored", || state_file(&state_dir).exists());
--- a/tests/node/client_disconnects.rs
+++ b/tests/node/client_disconnects.rs
@@ -96,7 +96,7 @@
     }
     // Once there is capacity again, the next request that is sent is that of the new client. It is sent on
     // one of these connections.
-    pending.iter_mut().for_each(|exchange| exchange.complete("", "slip"));
+    pending.iter_mut().for_each(|exchange| exchange.complete("", "done"));
     pause_before_reuse();
     let mut last_client = node.client();
     last_client.send(&request_with_id("9b1f03bb000000ff", "GET", "/view/1", "14.0", "", ""));
@@ -128,8 +128,8 @@
         let mut last_client = node.client();
         let id = format!("9b1f03bb000000f{}", u8::from(chunked));
         // The request has the same class as the upload, so that it is queued after it.
-        last_client.send(&request_with_id(&id, "POST", "/order/1", "14.0", "", "yen"));
-        pending.iter_mut().for_each(|exchange| exchange.complete("Connection: close\r\n", "slip"));
+        last_client.send(&request_with_id(&id, "POST", "/order/1", "14.0", "", "xyz"));
+        pending.iter_mut().for_each(|exchange| exchange.complete("Connection: close\r\n", "done"));
         // Connections that end before a request is complete are skipped.
         let (mut connection, request) = loop {
             let mut connection = Connection::from_stream(accept_connection(&listener));
@@ -248,10 +248,10 @@
                     &format!("{trailing}, {kind:?}, exhausted {exhausted}"),
                 );
                 let mut first = pending.remove(0);
-                first.complete("Connection: close\r\n", "slip");
+                first.complete("Connection: close\r\n", "done");
                 drop(first);
                 let mut last_client = node.client();
-                last_client.send(&request_with_id("9b1f03bb000000ff", "POST", "/order/1", "14.0", "", "yen"));
+                last_client.send(&request_with_id("9b1f03bb000000ff", "POST", "/order/1", "14.0", "", "xyz"));
                 assert_eq!(accept_request_from_any(&listeners).1.header("req-id"), Some("9b1f03bb000000ff"));
             }
         }
@@ -273,7 +273,7 @@
                 .map(|n| {
                     let id = format!("9b1f03cc{n:08x}");
                     let mut client = node.client();
-                    client.send(&request_with_id(&id, "POST", "/order/1", "14.0", "", "yen"));
+                    client.send(&request_with_id(&id, "POST", "/order/1", "14.0", "", "xyz"));
                     (id, client)
                 })
                 .collect();
@@ -294,9 +294,9 @@
             client.send(&bytes);
             disconnect(client, kind);
             wait_until_descriptors_closed(&node, before - 2, &format!("{trailing}, {kind:?}"));
-            second_upstream.send(&response(200, "", "slip"));
+            second_upstream.send(&response(200, "", "done"));
             let index = clients.iter().position(|(id, _)| answered.header("req-id") == Some(id)).unwrap();
-            assert_eq!(clients[index].1.receive().body, b"slip");
+            assert_eq!(clients[index].1.receive().body, b"done");
             pause_before_reuse();
             let mut last_client = node.client();
             last_client.send(&request_with_id("9b1f03cc000000ff", "GET", "/view/1", "14.0", "", ""));
--- a/tests/node/configuration.rs
+++ b/tests/node/configuration.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn optional_configuration_may_be_absent() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::with_config(&[ready_endpoint("a", &upstream)], |config| {
         for list in ["parties", "zones", "skus", "zone"] {
             config["settings"].as_object_mut().unwrap().remove(list);
@@ -17,8 +17,8 @@
         config["settings"]["services"][0]["name"] = "chart".into();
     });
     let chart = request("GET", "/chart/1", "14.0", "", "");
-    assert_eq!(node.client().exchange(&chart).body, b"slip");
-    assert_eq!(node.client().exchange(&submit_request()).body, b"slip");
+    assert_eq!(node.client().exchange(&chart).body, b"done");
+    assert_eq!(node.client().exchange(&submit_request()).body, b"done");
     for unknown in [view_request(), order_request()] {
         assert_eq!(node.client().exchange(&unknown).status(), 404);
     }
--- a/tests/node/connection_limits.rs
+++ b/tests/node/connection_limits.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn idle_client_connections_are_closed_for_new_clients() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::with_sockets(&[ready_endpoint("a", &upstream)], 64);
     let idle_clients: Vec<Connection> = (0..200).map(|_| node.client()).collect();
     // New clients may be rejected while idle connections are closed, but they get a response, and one of them
@@ -44,10 +44,10 @@
 
 #[test]
 fn the_connection_of_a_partial_request_stays_open_when_many_clients_connect() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::with_sockets(&[ready_endpoint("a", &upstream)], 128);
     let mut slow_client = node.client();
-    assert_eq!(slow_client.exchange(&view_request()).body, b"slip");
+    assert_eq!(slow_client.exchange(&view_request()).body, b"done");
     let text = request("GET", "/view/slow", "9", "", "");
     slow_client.send(&text[..30]);
     pause_before_reuse();
@@ -57,12 +57,12 @@
     let health = HEALTH_REQUEST;
     assert_eq!(node.client().exchange(health).status(), 200);
     slow_client.send(&text[30..]);
-    assert_eq!(slow_client.receive().body, b"slip");
+    assert_eq!(slow_client.receive().body, b"done");
 }
 
 #[test]
 fn the_node_keeps_serving_when_descriptors_are_exhausted() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::with_descriptor_limit(&[ready_endpoint("a", &upstream)], 48);
     let idle_clients: Vec<Connection> = (0..100).map(|_| node.client()).collect();
     assert!((0..1000).any(|_| node.client().exchange(&view_request()).status() == 200));
--- a/tests/node/connection_setup.rs
+++ b/tests/node/connection_setup.rs
@@ -95,7 +95,7 @@
     clients.iter_mut().for_each(|client| client.send(&view_request()));
     let [(mut idle, _), (mut used, _)] = [accept_request(&first_listener), accept_request(&first_listener)];
     for connection in [&mut idle, &mut used] {
-        connection.send(&response(200, "", "slip"));
+        connection.send(&response(200, "", "done"));
         pause_before_reuse();
     }
     clients.iter_mut().for_each(|client| assert_eq!(client.receive().status(), 200));
--- a/tests/node/discovery.rs
+++ b/tests/node/discovery.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn a_broken_watch_is_reopened_from_the_last_revision() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::start(&[]);
     assert_eq!(node.client().exchange(HEALTH_REQUEST).status(), 503);
     assert_eq!(node.client().exchange(&view_request()).status(), 503);
@@ -74,7 +74,7 @@
 
 #[test]
 fn a_node_serves_from_its_configured_list_while_discovery_closes_connections() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir());
     assert_eq!((node.health(), node.admin_request("GET", "/status", "").status()), (200, 200));
     // Each connection is closed at once. The next one must not follow at once, and the delays must vary so
--- a/tests/node/endpoint_lists.rs
+++ b/tests/node/endpoint_lists.rs
@@ -106,7 +106,7 @@
 
 #[test]
 fn a_restarted_endpoint_gets_new_connections() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let mut watch = Watch::accept(&node.discovery);
     assert_eq!(node.client().exchange(&view_request()).status(), 200);
--- a/tests/node/forwarding.rs
+++ b/tests/node/forwarding.rs
@@ -4,13 +4,13 @@
 
 #[test]
 fn forwards_requests_unchanged_and_reuses_connections() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let mut client = node.client();
     for id in ["9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42"] {
         pause_before_reuse();
         let response = client.exchange(&request_with_id(id, "GET", "/view/7f3a?x=1", "14.0", "", ""));
-        assert_eq!((response.status(), &response.body[..]), (200, &b"slip"[..]));
+        assert_eq!((response.status(), &response.body[..]), (200, &b"done"[..]));
         let (connection, request) = upstream.next_request();
         assert_eq!(connection, 0, "an idle connection is reused");
         assert_eq!(request.start_line, "GET /view/7f3a?x=1 HTTP/1.1");
@@ -21,7 +21,7 @@
     let response = client.exchange(&submit_request());
     assert_eq!(response.status(), 200);
     let (_, request) = upstream.next_request();
-    assert_eq!((request.header("idempotency-key"), &request.body[..]), (Some("5c0f6e1a"), &b"hours"[..]));
+    assert_eq!((request.header("idempotency-key"), &request.body[..]), (Some("5c0f6e1a"), &b"value"[..]));
 }
 
 #[test]
@@ -54,9 +54,9 @@
 
 #[test]
 fn an_absolute_form_target_is_forwarded_in_origin_form() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let text = String::from_utf8(view_request()).unwrap().replace("GET /", "GET http://origin.svc/");
-    assert_eq!(node.client().exchange(text.as_bytes()).body, b"slip");
+    assert_eq!(node.client().exchange(text.as_bytes()).body, b"done");
     assert_eq!(upstream.next_request().1.start_line, "GET /view/7f3a?x=1 HTTP/1.1");
 }
--- a/tests/node/hot_restart.rs
+++ b/tests/node/hot_restart.rs
@@ -12,8 +12,8 @@
 #[test]
 fn hot_restart_loses_no_request() {
     let upstream = ScriptedEndpoint::new(|count, _| match count {
-        0 => Reply::SendDelayed(Vec::new(), Duration::from_millis(1500), response(200, "", "slip")),
-        _ => ok("slip"),
+        0 => Reply::SendDelayed(Vec::new(), Duration::from_millis(1500), response(200, "", "done")),
+        _ => ok("done"),
     });
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
     let mut old = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
@@ -37,7 +37,7 @@
     for _ in 0..50 {
         assert_eq!((new.health(), new.client().exchange(&view_request()).status()), (200, 200));
     }
-    assert_eq!(busy.receive().body, b"slip");
+    assert_eq!(busy.receive().body, b"done");
     assert!(idle.is_closed());
     assert!(old.wait_for_exit().success());
     assert_eq!(new.client().exchange(&view_request()).status(), 200);
@@ -46,8 +46,8 @@
 #[test]
 fn the_old_process_leaves_the_backlog_to_its_successor() {
     let upstream = ScriptedEndpoint::new(|count, _| match count {
-        0 => Reply::SendDelayed(Vec::new(), Duration::from_millis(1000), response(200, "", "slip")),
-        _ => ok("slip"),
+        0 => Reply::SendDelayed(Vec::new(), Duration::from_millis(1000), response(200, "", "done")),
+        _ => ok("done"),
     });
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
     let mut old = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
@@ -60,16 +60,16 @@
     // in the backlog.
     let mut waiting = old.client();
     waiting.send(&view_request());
-    assert_eq!(busy.receive().body, b"slip");
+    assert_eq!(busy.receive().body, b"done");
     assert!(old.wait_for_exit().success());
     assert_eq!(upstream.request_count(), 1);
     let _new = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
-    assert_eq!(waiting.receive().body, b"slip");
+    assert_eq!(waiting.receive().body, b"done");
 }
 
 #[test]
 fn a_process_without_endpoints_accepts_no_connections() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
     let new = Node::with_inherited_listener(&[], &listener, &state_dir);
     assert_eq!(new.admin_request("GET", "/status", "").status(), 503);
@@ -78,13 +78,13 @@
     let mut watch = Watch::accept(&new.discovery);
     assert_eq!(new.admin_request("GET", "/status", "").status(), 503);
     watch.send_delta(42, &[ready_endpoint("a", &upstream)]);
-    assert_eq!(waiting.receive().body, b"slip");
+    assert_eq!(waiting.receive().body, b"done");
     assert_eq!(new.admin_request("GET", "/status", "").status(), 200);
 }
 
 #[test]
 fn concurrent_commands_to_both_processes_all_take_effect() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let targets: Vec<Value> = names.iter().map(|uid| ready_endpoint(uid, &upstream)).collect();
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
@@ -130,7 +130,7 @@
 
 #[test]
 fn exits_with_an_error_on_an_invalid_inherited_socket() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
     let old = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
     let config = old.config_with_discovery(&old.discovery);
@@ -167,7 +167,7 @@
     let old = Node::with_inherited_listener_and_sockets(&targets, &listener, &state_dir, SOCKETS);
     // Clients with active requests use a third of the descriptors, and 100 idle clients connect below.
     let mut busy: Vec<Connection> = (0..SOCKETS / 3).map(|_| old.client()).collect();
-    busy.iter_mut().for_each(|client| client.send(&request("POST", "/order/1", "14", "", "yen")));
+    busy.iter_mut().for_each(|client| client.send(&request("POST", "/order/1", "14", "", "xyz")));
     wait_until("12 requests are at endpoints", || upstream.request_count() >= 12);
     let new = Node::with_inherited_listener_and_sockets(&targets, &listener, &state_dir, SOCKETS);
     // The old process accepts these connections until it knows of its successor.
--- a/tests/node/idle_connections.rs
+++ b/tests/node/idle_connections.rs
@@ -31,7 +31,7 @@
         if request.start_line.starts_with("POST") {
             barrier.wait();
         }
-        ok("slip")
+        ok("done")
     });
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let mut busy = node.client();
@@ -51,7 +51,7 @@
     let upstream = ScriptedEndpoint::new(move |count, _| match count {
         0 | 1 => {
             both_requests.wait();
-            ok("slip")
+            ok("done")
         }
         _ => Reply::Never,
     });
@@ -61,7 +61,7 @@
     second.send(&order_request());
     assert_eq!((first.receive().status(), second.receive().status()), (200, 200));
     pause_before_reuse();
-    assert_eq!(first.exchange(&request("POST", "/order/1", "3", "", "yen")).status(), 504);
+    assert_eq!(first.exchange(&request("POST", "/order/1", "3", "", "xyz")).status(), 504);
     first.send(&order_request());
     let connections: Vec<usize> = (0..4).map(|_| upstream.next_request().0).collect();
     assert_eq!(connections[3], 2, "the last request uses a new connection: {connections:?}");
--- a/tests/node/large_bodies.rs
+++ b/tests/node/large_bodies.rs
@@ -42,7 +42,7 @@
         assert_eq!((response.status(), response.body == body), (200, true));
         // The client's connection is reused, and so is the upstream connection if the response's framing
         // allows it.
-        assert_eq!(client.exchange(&order_request()).body, b"yen");
+        assert_eq!(client.exchange(&order_request()).body, b"xyz");
         let encoded =
             [request_head("POST", "/order/1", "Transfer-Encoding: chunked\r\n"), encode_chunked(&body)]
                 .concat();
--- a/tests/node/maintenance.rs
+++ b/tests/node/maintenance.rs
@@ -59,7 +59,7 @@
 
 #[test]
 fn an_idle_node_uses_an_endpoint_again_after_maintenance() {
-    let upstreams: Vec<ScriptedEndpoint> = (0..4).map(|_| ScriptedEndpoint::new(|_, _| ok("slip"))).collect();
+    let upstreams: Vec<ScriptedEndpoint> = (0..4).map(|_| ScriptedEndpoint::new(|_, _| ok("done"))).collect();
     let names = ["a", "b", "c", "d"];
     let list: Vec<Value> = names.iter().zip(&upstreams).map(|(uid, s)| ready_endpoint(uid, s)).collect();
     let node = Node::with_admin(&list, 1024, &state_dir());
@@ -77,15 +77,15 @@
 #[test]
 fn connections_from_before_maintenance_are_not_reused() {
     let upstream = ScriptedEndpoint::new(|count, _| match count {
-        0 => Reply::SendDelayed(Vec::new(), Duration::from_millis(1000), response(200, "", "slip")),
-        _ => ok("slip"),
+        0 => Reply::SendDelayed(Vec::new(), Duration::from_millis(1000), response(200, "", "done")),
+        _ => ok("done"),
     });
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir());
     let mut busy = node.client();
     busy.send(&order_request());
     assert_eq!(upstream.next_request().0, 0);
     assert_eq!((node.set_maintenance("enter", "a"), node.set_maintenance("exit", "a")), (200, 200));
-    assert_eq!(busy.receive().body, b"slip", "the active request completes after maintenance");
+    assert_eq!(busy.receive().body, b"done", "the active request completes after maintenance");
     assert_eq!(upstream.next_closed_connection(), 0);
     wait_until("the endpoint is used again", || node.client().exchange(&view_request()).status() == 200);
     assert_eq!(upstream.next_request().0, 1);
--- a/tests/node/memory_limits.rs
+++ b/tests/node/memory_limits.rs
@@ -89,7 +89,7 @@
     const ENDPOINTS: usize = MEMORY_MIB * 2;
     let respond = |_, request: &Message| match request.start_line.starts_with("POST") {
         true => Reply::Never,
-        false => ok("slip"),
+        false => ok("done"),
     };
     let upstream = ScriptedEndpoint::new(respond);
     let endpoints: Vec<_> = (0..ENDPOINTS).map(|n| ready_endpoint(&format!("s{n}"), &upstream)).collect();
@@ -105,7 +105,7 @@
     let mut client = node.client();
     let mut send_views = || -> HashSet<usize> {
         let send_view = |_| {
-            assert_eq!(client.exchange(&view_request()).body, b"slip");
+            assert_eq!(client.exchange(&view_request()).body, b"done");
             upstream.next_request().0
         };
         (0..2 * ENDPOINTS).map(send_view).collect()
--- a/tests/node/reload.rs
+++ b/tests/node/reload.rs
@@ -12,7 +12,7 @@
     let mut watch = Watch::accept(&node.discovery);
     watch.send_delta(57, &[]);
     let mut waiting = node.client();
-    waiting.send(&request("POST", "/order/1", "9", "", "yen"));
+    waiting.send(&request("POST", "/order/1", "9", "", "xyz"));
     one.next_request();
     // This file is invalid: the node keeps its configuration.
     node.reload_config("{\"name\": 3}");
@@ -32,14 +32,14 @@
 /// Guards against a panic on a failed write to the log.
 #[test]
 fn a_closed_log_pipe_does_not_stop_the_node() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::with_closed_log(&[ready_endpoint("a", &upstream)]);
     let new_discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     node.reload_config("{\"name\": 3}");
     node.reload_config(&node.config_with_discovery(&new_discovery));
     drop(Watch::accept(&new_discovery));
     Watch::accept(&new_discovery).keep_alive();
-    assert_eq!(node.client().exchange(&view_request()).body, b"slip");
+    assert_eq!(node.client().exchange(&view_request()).body, b"done");
 }
 
 /// When endpoint lists are polled, failed polls increase the backoff. A new address is polled at once,
--- a/tests/node/request_validation.rs
+++ b/tests/node/request_validation.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn invalid_requests_get_a_client_error_and_are_not_forwarded() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let without = |bytes: Vec<u8>, header: &str| {
         let text = String::from_utf8(bytes).unwrap();
@@ -64,10 +64,10 @@
         format!("{}{chunk}", head(&both)),
         format!("{}{chunk}", head(&both_in_other_case)),
         format!("{}{chunk}", head(&both).replace("\r\n", "\n")),
-        format!("{}yen{smuggled}", head("Content-Length: 3\r\nContent-Length: 4\r\n")),
-        format!("{}yen{smuggled}", head("Content-Length: -3\r\n")),
-        format!("{}yen{smuggled}", head("Content-Length: 99999999999999999999\r\n")),
-        format!("{}yen{smuggled}", head("Transfer-Encoding: gzip\r\n")),
+        format!("{}xyz{smuggled}", head("Content-Length: 3\r\nContent-Length: 4\r\n")),
+        format!("{}xyz{smuggled}", head("Content-Length: -3\r\n")),
+        format!("{}xyz{smuggled}", head("Content-Length: 99999999999999999999\r\n")),
+        format!("{}xyz{smuggled}", head("Transfer-Encoding: gzip\r\n")),
     ];
     for (number, text) in invalid.iter().enumerate() {
         let mut client = node.client();
@@ -80,10 +80,10 @@
     let mut client = node.client();
     client.send(format!("{smuggled}{}", invalid[0]).as_bytes());
     assert_eq!((client.receive().status(), client.receive().status()), (200, 400));
-    let only_chunked = format!("{}3\r\nyen\r\n0\r\n\r\n", head("Transfer-Encoding: chunked\r\n"));
+    let only_chunked = format!("{}3\r\nxyz\r\n0\r\n\r\n", head("Transfer-Encoding: chunked\r\n"));
     assert_eq!(node.client().exchange(only_chunked.as_bytes()).status(), 200);
     upstream.next_request();
-    assert_eq!((&upstream.next_request().1.body[..], upstream.request_count()), (&b"yen"[..], 2));
+    assert_eq!((&upstream.next_request().1.body[..], upstream.request_count()), (&b"xyz"[..], 2));
 }
 
 #[test]
@@ -93,8 +93,8 @@
     let text = String::from_utf8(order_request()).unwrap();
     let with_length = text.replace("Content-Length: 3", "Content-Length: 60000000");
     let chunked =
-        text.replace("Content-Length: 3", "Transfer-Encoding: chunked").replace("\r\nyen", "\r\n4000000\r\n");
-    for (head, length) in [(with_length.replace("\r\nyen", "\r\n"), 600_000), (chunked, 34_000_000)] {
+        text.replace("Content-Length: 3", "Transfer-Encoding: chunked").replace("\r\nxyz", "\r\n4000000\r\n");
+    for (head, length) in [(with_length.replace("\r\nxyz", "\r\n"), 600_000), (chunked, 34_000_000)] {
         let mut client = node.client();
         // The client continues to send after the response has arrived.
         client.stream.write_all(head.as_bytes()).unwrap();
@@ -107,7 +107,7 @@
 
 #[test]
 fn rejects_the_request_id_of_an_open_request() {
-    let upstream = ScriptedEndpoint::new(|count, _| if count == 0 { Reply::Never } else { ok("slip") });
+    let upstream = ScriptedEndpoint::new(|count, _| if count == 0 { Reply::Never } else { ok("done") });
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let request = request_with_id("9b1f03aa5c7e2d41", "GET", "/view/1", "14", "", "");
     let mut first = node.client();
@@ -123,7 +123,7 @@
 
 #[test]
 fn a_request_of_an_unknown_tenant_is_served() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let text = String::from_utf8(view_request()).unwrap().replace("acme", "stranger");
     assert_eq!(node.client().exchange(text.as_bytes()).status(), 200);
--- a/tests/node/retries.rs
+++ b/tests/node/retries.rs
@@ -50,7 +50,7 @@
 #[test]
 fn a_refused_connection_counts_as_not_executed() {
     let node = Node::start(&[endpoint_entry("a", refusing_address(), 1, "ready")]);
-    assert_eq!(node.client().exchange(&request("POST", "/order/1", "2", "", "yen")).status(), 503);
+    assert_eq!(node.client().exchange(&request("POST", "/order/1", "2", "", "xyz")).status(), 503);
 }
 
 #[test]
--- a/tests/node/shutdown.rs
+++ b/tests/node/shutdown.rs
@@ -83,7 +83,7 @@
 
 #[test]
 fn a_partially_read_request_at_sigterm_is_answered() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let mut node = start_with_short_deadlines(&[ready_endpoint("a", &upstream)], 1024);
     let (submit, view) = (submit_request(), view_request());
     let (mut head, mut body) = (node.client(), node.client());
@@ -131,14 +131,14 @@
     for _ in 0..2 {
         let mut connection = Connection::from_stream(accept_connection(&a));
         connection.receive();
-        connection.send(&response(200, "Connection: close\r\n", "slip"));
+        connection.send(&response(200, "Connection: close\r\n", "done"));
         assert!(connection.reaches_close());
     }
     streaming.send(&vec![b'h'; 30_000]);
     assert_eq!(first.receive().body.len(), 100_000);
     for client in [&mut second, &mut queued] {
         let response = client.receive();
-        assert_eq!((response.status(), &response.body[..]), (200, &b"slip"[..]));
+        assert_eq!((response.status(), &response.body[..]), (200, &b"done"[..]));
         assert!(client.is_closed());
     }
     assert!(node.wait_for_exit().success());
@@ -164,7 +164,7 @@
 
 #[test]
 fn sigterm_answers_every_request_and_closes_connections() {
-    let upstream = ScriptedEndpoint::new(|count, _| if count == 1 { Reply::Never } else { ok("slip") });
+    let upstream = ScriptedEndpoint::new(|count, _| if count == 1 { Reply::Never } else { ok("done") });
     let mut node = Node::start(&[ready_endpoint("a", &upstream)]);
     let (mut kept, mut waiting) = (node.client(), node.client());
     assert_eq!(kept.exchange(&view_request()).status(), 200);
--- a/tests/node/slow_peers.rs
+++ b/tests/node/slow_peers.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn incomplete_requests_time_out() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let started = Instant::now();
     let (mut silent, mut slow, mut incomplete, mut idle) =
@@ -66,7 +66,7 @@
 
 #[test]
 fn the_head_timeout_starts_at_the_first_byte_of_the_head() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let mut client = node.client();
     assert_eq!(client.exchange(&view_request()).status(), 200);
@@ -76,7 +76,7 @@
         client.send(piece);
         thread::sleep(Duration::from_millis(220));
     }
-    assert_eq!(client.receive().body, b"slip");
+    assert_eq!(client.receive().body, b"done");
 }
 
 #[test]
@@ -110,12 +110,12 @@
 
 #[test]
 fn a_small_response_may_arrive_slowly_in_pieces() {
-    let pieces: Vec<Vec<u8>> = response(200, "", "slip").chunks(4).map(<[u8]>::to_vec).collect();
+    let pieces: Vec<Vec<u8>> = response(200, "", "done").chunks(4).map(<[u8]>::to_vec).collect();
     assert!(pieces.len() > 8);
     let upstream =
         ScriptedEndpoint::new(move |_, _| Reply::SendInPieces(pieces.clone(), Duration::from_millis(100)));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
-    assert_eq!(node.client().exchange(&order_request()).body, b"slip");
+    assert_eq!(node.client().exchange(&order_request()).body, b"done");
 }
 
 #[test]
@@ -125,7 +125,7 @@
     let body = random_bytes(6_000_000);
     let upstream = ScriptedEndpoint::new(move |_, request| match request.start_line.contains("large") {
         true => Reply::Send(ok_with_body("", &body)),
-        false => ok("slip"),
+        false => ok("done"),
     });
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let mut readers: Vec<Connection> = (0..12).map(|_| node.client()).collect();
--- a/tests/node/standby.rs
+++ b/tests/node/standby.rs
@@ -8,8 +8,8 @@
 #[test]
 fn standby_drains_the_node_without_losing_a_request() {
     let upstream = ScriptedEndpoint::new(|count, _| match count {
-        0 => Reply::SendDelayed(Vec::new(), Duration::from_millis(1200), response(200, "", "slip")),
-        _ => ok("slip"),
+        0 => Reply::SendDelayed(Vec::new(), Duration::from_millis(1200), response(200, "", "done")),
+        _ => ok("done"),
     });
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir());
     let (mut busy, mut kept, mut idle) = (node.client(), node.client(), node.client());
@@ -37,7 +37,7 @@
     // An idle connection closes after 2.5 s even without standby; the load balancer in front of the nodes
     // waits for 4 s.
     assert!(draining_since.elapsed() < Duration::from_millis(1800), "{:?}", draining_since.elapsed());
-    assert_eq!(busy.receive().body, b"slip");
+    assert_eq!(busy.receive().body, b"done");
     assert!(busy.is_closed());
     assert_eq!(node.admin_request("POST", "/active", "").status(), 200);
     assert_eq!(node.health(), 200);
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_partial_request_is_served_in_standby() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir());
     let mut slow = node.client();
     assert_eq!(slow.exchange(&view_request()).status(), 200);
@@ -61,5 +61,5 @@
     assert_eq!(node.admin_request("POST", "/standby", "").status(), 200);
     thread::sleep(Duration::from_millis(1200));
     slow.send(&text[20..]);
-    assert_eq!(slow.receive().body, b"slip");
+    assert_eq!(slow.receive().body, b"done");
 }
--- a/tests/node/upstream_responses.rs
+++ b/tests/node/upstream_responses.rs
@@ -144,9 +144,9 @@
 #[test]
 fn a_response_delimited_by_close_is_complete_only_after_a_clean_close() {
     let head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
-    let upstream = ScriptedEndpoint::new(move |_, _| Reply::SendAndClose(format!("{head}slip").into_bytes()));
+    let upstream = ScriptedEndpoint::new(move |_, _| Reply::SendAndClose(format!("{head}done").into_bytes()));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
-    assert_eq!(node.client().exchange(&order_request()).body, b"slip");
+    assert_eq!(node.client().exchange(&order_request()).body, b"done");
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let node = Node::start(&[endpoint_entry("a", listener.local_addr().unwrap(), 1, "ready")]);
     let mut client = node.client();
--- a/tests/node/version_upgrade.rs
+++ b/tests/node/version_upgrade.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn reads_and_keeps_the_state_file_format_of_the_previous_version() {
-    let upstream = ScriptedEndpoint::new(|_, _| ok("slip"));
+    let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let targets = ["a", "b", "c"].map(|uid| ready_endpoint(uid, &upstream));
     let state_dir = state_dir();
     let path = state_dir.join(STATE_FILE_NAME);
--- a/tests/support/requests.rs
+++ b/tests/support/requests.rs
@@ -52,12 +52,12 @@
 
 /// Returns a request of the class that is idempotent with an idempotency key.
 pub fn submit_request() -> Vec<u8> {
-    request("POST", "/submit/7f3a", "14.0", "Idempotency-Key: 5c0f6e1a\r\n", "hours")
+    request("POST", "/submit/7f3a", "14.0", "Idempotency-Key: 5c0f6e1a\r\n", "value")
 }
 
 /// Returns a request of the non-idempotent class.
 pub fn order_request() -> Vec<u8> {
-    request("POST", "/order/7f3a", "14.0", "", "yen")
+    request("POST", "/order/7f3a", "14.0", "", "xyz")
 }
 
 /// Returns the head of a request, without a `Content-Length` except as part of `extra_headers`.
