--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -11,8 +11,9 @@
 use super::retry::{may_send, retry_deadline};
 use super::subsets::pool_of;
 
-/// Maximum fraction of its remaining time, as of its arrival, that a request spends in the queue if it was
-/// not executed. The protocol charges for requests that are rejected after more than half of that time.
+/// Fraction of its remaining time, as of its arrival, after which a request that was not executed leaves the
+/// queue if it is over quota or would probably miss its latency objective. The protocol charges for requests
+/// that are rejected after more than half of that time.
 const MAX_QUEUE_TIME_FRACTION: f64 = 0.45;
 /// Time from the balancer's last possible final answer to the moment when the client stops waiting, in
 /// multiples of [`Settings::clock_granularity`](super::Settings::clock_granularity).
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -134,7 +134,7 @@
     /// slow start factor = slow_start_from + (1 - slow_start_from) * min(age / slow_start_window, 1)
     ///
     /// age                 time since the endpoint's start, in microseconds; infinite if that is unknown
-    /// slow_start_window   duration of the slow start, in microseconds
+    /// slow_start_window   maximum duration of the slow start, in microseconds
     /// ```
     pub(super) fn slow_start_factor(&self, i: usize, now: Timestamp, settings: &Settings) -> f64 {
         let started_at = self.maintenance.started_at(&self.endpoints[i].info);
--- a/src/balancer/feedback.rs
+++ b/src/balancer/feedback.rs
@@ -11,10 +11,10 @@
 impl Balancer {
     /// Updates the statistics with the outcome of an attempt.
     ///
-    /// The statistics ignore two kinds of attempts. If the endpoint was not executing a served attempt,
-    /// because the request was incomplete or the response had begun, the elapsed time does not show the
-    /// endpoint's speed. An attempt that was sent before the endpoint exited maintenance does not show its
-    /// present state.
+    /// Every attempt stops counting as in flight at its endpoint. Apart from that, the statistics ignore two
+    /// kinds of attempts. If the endpoint was not executing a served attempt, because the request was
+    /// incomplete or the response had begun, the elapsed time does not show the endpoint's speed. An attempt
+    /// that was sent before the endpoint exited maintenance does not show its present state.
     pub(super) fn record_outcome(
         &mut self,
         entry: &QueuedRequest,
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -37,12 +37,15 @@
 ///
 /// ```text
 /// hedge time = sent + max(objective - sent - HEDGE_MEDIAN_MULTIPLE * median, likely)
+/// likely     = LIKELY_MULTIPLE * median
 ///
-/// sent       time at which the last attempt in flight was sent
-/// objective  time by which a response meets the latency objective
+/// sent       time at which the last attempt in flight was sent, in microseconds
+/// objective  time by which a response meets the latency objective, in microseconds
 /// median     median latency of the class in microseconds
-/// likely     time within which a response probably arrives, in microseconds
+/// likely     time within which a response is expected, in microseconds
 /// ```
+///
+/// `LIKELY_MULTIPLE` is the constant of [`LatencyEstimator::likely_us`].
 pub(super) fn hedge_time(request: &ActiveRequest, latency: &LatencyEstimator) -> Option<Timestamp> {
     let last = request.in_flight().next_back()?;
     let objective_us = request.entry.objective_at.micros_since(last.sent_at);
--- a/src/balancer/interface/action.rs
+++ b/src/balancer/interface/action.rs
@@ -69,8 +69,8 @@
     }
 }
 
-/// Converts a token to a number, for timers that are identified by numbers. A request's timer has the id of
-/// the request.
+/// Converts a token to a number, for wires and timers that carry numbers, such as the wire of the simulator.
+/// A request's timer has the id of the request.
 impl From<TimerToken> for u64 {
     fn from(token: TimerToken) -> u64 {
         match token {
--- a/src/balancer/interface/settings.rs
+++ b/src/balancer/interface/settings.rs
@@ -109,7 +109,7 @@
     pub discovery: DiscoveryMode,
     /// Minimum fraction of its capacity that an endpoint has when it starts.
     pub slow_start_from: f64,
-    /// Duration of the slow start, after which an endpoint has its full capacity.
+    /// Maximum duration of the slow start: an endpoint has its full capacity after this time at the latest.
     pub slow_start_window: Duration,
     /// Multiple of its current capacity at which an endpoint in slow start fails.
     pub overload_multiple: f64,
@@ -186,11 +186,11 @@
 }
 
 impl Settings {
-    /// Validates the settings.
+    /// Checks that each setting is within its range, and that the settings are consistent with each other.
     ///
     /// # Errors
     ///
-    /// Returns a [`SettingsError`] that names the first invalid setting.
+    /// Returns a [`SettingsError`] that names the first invalid setting and its value.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`SettingsError`] that names the first invalid setting.
+    /// Returns a [`SettingsError`] that names the first invalid setting and its value.
     pub fn new(settings: Settings, seed: u64) -> Result<Balancer, SettingsError> {
         settings.check()?;
         Ok(Balancer {
--- a/src/balancer/reevaluation.rs
+++ b/src/balancer/reevaluation.rs
@@ -50,8 +50,8 @@
     fn should_give_up(&self, request: &ActiveRequest) -> bool {
         let entry = &request.entry;
         let late_earns_nothing = !entry.within_quota || self.settings.classes[entry.class].late_weight == 0.0;
-        // Late in the request's time, the chance that it is still sent is small, and not worth the cost of an
-        // even later rejection to the client.
+        // If the request was not executed, an even later final answer costs the client more than the small
+        // remaining chance to be sent is worth.
         let waited_too_long = self.now >= request.queue_until && request.not_executed();
         let too_late = self.would_be_late(entry) && (late_earns_nothing || waited_too_long);
         let key_expired =
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -47,7 +47,8 @@
 /// A request that has no final answer yet, or has attempts in flight.
 #[derive(Default)]
 pub(super) struct ActiveRequest {
-    /// Its entry in the queue.
+    /// Its id, class, quota status and latency objective, also after it has left the queue. The queue holds a
+    /// copy.
     pub(super) entry: QueuedRequest,
     /// Index of its pool.
     pub(super) pool: usize,
@@ -55,7 +56,8 @@
     pub(super) affinity_key: Option<u64>,
     /// Time by which it gets a final answer, shortly before its client stops waiting.
     pub(super) answer_deadline: Timestamp,
-    /// Time up to which it may wait in the queue if it was not executed.
+    /// Time after which it leaves the queue if it was not executed, and is over quota or would probably miss
+    /// its latency objective.
     pub(super) queue_until: Timestamp,
     /// Its attempts in the order in which they were sent.
     pub(super) attempts: Vec<Attempt>,
--- a/src/node/body/pacing.rs
+++ b/src/node/body/pacing.rs
@@ -13,8 +13,8 @@
 /// Minimum rate at which a client may send. The rate that is required of clients is twice as high; the
 /// difference is a tolerance for machines that run unevenly.
 const MIN_UPLOAD_BYTES_PER_SECOND: f64 = 32_000.0;
-/// Maximum time that a client may pause, however much it has sent. A client that keeps to the required rate
-/// may send the data of one second at once.
+/// Maximum time that a client may pause after it has sent data, however much that was. A deadline that is
+/// already later stays. A client that keeps to the required rate may send the data of one second at once.
 const MAX_UPLOAD_PAUSE: Duration = Duration::from_millis(1500);
 
 /// A client's body, with a minimum rate at which it has to be received.
--- a/src/node/discovery/parser.rs
+++ b/src/node/discovery/parser.rs
@@ -79,7 +79,8 @@
     fn end_line(&mut self) -> Result<Option<EndpointList>, ParseError> {
         let line_was_blank = std::mem::replace(&mut self.line_is_blank, true);
         if self.depth > 0 || self.in_string {
-            // Empty lines are sent only between lists, and JSON strings contain no line end.
+            // An empty line means that nothing has changed and is sent only between lists, and a JSON string
+            // contains no line end. Either of them within a list shows that the list is truncated.
             if line_was_blank || self.in_string {
                 return Err(ParseError::Truncated { bytes: self.buffer.len() });
             }
--- a/src/node/lifecycle/hot_restart.rs
+++ b/src/node/lifecycle/hot_restart.rs
@@ -1,11 +1,14 @@
 //! Hot restart: a new process of a node takes over from the old one. While both run, their descriptors
 //! together stay within the limit of the node.
 //!
-//! Each process increments the start count in the state file when it starts. After a start, the new process
-//! and its predecessor each use at most half of the descriptors. The predecessor closes idle connections
-//! until it is within this limit or a timeout has passed, and then records in a file that it has released the
-//! other half. The successor becomes ready to serve after the release, or after a timeout: the predecessor
-//! may have crashed, or its version may not support the release.
+//! Each process increments the start count in the state file when it starts, and polls that file. A process
+//! that sees the count rise has a successor. A process that is not the first of its node may have a
+//! predecessor that still runs. In both cases it uses at most half of the descriptors for
+//! [`DESCRIPTOR_SHARING_PERIOD`].
+//!
+//! The predecessor closes idle connections until it is within this limit or a timeout has passed, and then
+//! records in a file that it has released the other half. The successor becomes ready to serve after the
+//! release, or after a timeout: the predecessor may have crashed, or its version may not support the release.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/node/lifecycle/shutdown.rs
+++ b/src/node/lifecycle/shutdown.rs
@@ -8,6 +8,9 @@
 //!    rejected.
 //! 4. Responses that have begun may still be transferred. The process exits when the last connection is
 //!    closed.
+//!
+//! The times that the constants below take from the protocol are in the section "Figures" of the protocol
+//! page.
 
 use std::pin::pin;
 use std::rc::Rc;
--- a/src/node/net/framing.rs
+++ b/src/node/net/framing.rs
@@ -21,8 +21,9 @@
     content_length_lines: usize,
     /// Number of bytes received after the head.
     body_bytes: u64,
-    /// Whether the bytes of an earlier request did not match its length, or that length was unknown, so that
-    /// bytes of one message may have been taken for bytes of another.
+    /// Whether an earlier request was completed while its head seemed incomplete, or with a body whose length
+    /// was unknown or did not match the bytes after the head. Bytes of one message may then have been taken
+    /// for bytes of another.
     is_ambiguous: bool,
 }
 
--- a/src/node/state_store/admin_state.rs
+++ b/src/node/state_store/admin_state.rs
@@ -14,8 +14,8 @@
 /// Version of the format. Files of other versions are ignored, since their fields are unknown.
 const FORMAT_VERSION: u32 = 1;
 
-/// Minimum time for which the time of an endpoint's exit from maintenance is kept. It is expected to exceed
-/// every slow start, after which the time of the exit has no effect.
+/// Minimum time for which the time of an endpoint's exit from maintenance is kept. That time has no effect
+/// after the slow start. This assumes that no slow start lasts longer; the settings do not bound it.
 const EXIT_TIME_RETENTION: Duration = Duration::from_secs(600);
 
 /// The state that operators have set through the admin API, and the number of process starts.
--- a/tests/balancer/maintenance.rs
+++ b/tests/balancer/maintenance.rs
@@ -19,7 +19,7 @@
         node.handle(list);
         let seen = endpoints_reached(&mut node, &[None, Some(0)]);
         assert!(seen.values().flatten().all(|id| *id == 2), "{seen:?}");
-        // Neither a retry nor a hedge goes to the endpoint, even if no other endpoint is left.
+        // Neither a retry nor a hedge is sent to the endpoint, even if no other endpoint is left.
         let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
         assert_eq!(sends(&actions, id), [2]);
         assert_eq!(sends(&node.fire_timer(id, 290 * MS), id), []);
--- a/tests/node/connection_limits.rs
+++ b/tests/node/connection_limits.rs
@@ -35,7 +35,7 @@
     let node = Node::with_sockets(&[ready_endpoint("a", &upstream)], 128);
     let mut clients: Vec<Connection> = (0..40).map(|_| node.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&request("GET", "/view/1", "9", "", "")));
-    // The limit on open connections would allow half as many again, but an idle connection uses up capacity
+    // The limit on open connections would allow 1.5 times as many, but an idle connection uses up capacity
     // that another client needs.
     let mut next_client = node.client();
     assert_eq!(next_client.exchange(HEALTH_REQUEST).header("connection"), Some("close"));
