--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -57,8 +57,9 @@
 }
 
 impl QueueWaitEstimator {
-    /// Returns the mean wait in microseconds. It decreases to 0 while no attempt ends: a node that sheds all
-    /// requests would otherwise never learn that the overload is over.
+    /// Returns the mean wait in microseconds. It decreases to 0 in [`DECAY_TIME_US`] after the last attempt
+    /// that was counted: a node that sheds all requests would otherwise never learn that the overload is
+    /// over.
     ///
     /// ```text
     /// mean wait = mean_us * max(1 - age / DECAY_TIME_US, 0)
@@ -151,7 +152,7 @@
     /// probability = 1 - (1 - visibility) * clamp((wait - from) / range, 0, 1)
     ///
     /// visibility   local load visibility of the concurrency limit
-    /// wait         mean wait, decreased while no attempt ends
+    /// wait         mean wait, decreased by the time since the last attempt that was counted
     /// from         within quota: max(SHED_START_SLACK_FRACTION * slack,
     ///                                UNLOADED_WAIT_FRACTION * typical baseline latency)
     ///              over quota:   OVER_QUOTA_SHED_START_SLACK_FRACTION * smallest slack of all classes
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -54,7 +54,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let begin_by = retry_deadline(&self.settings, request);
         let endpoint = &mut self.table.endpoints[endpoint_index];
-        endpoint.in_flight += 1;
+        endpoint.executing += 1;
         endpoint.last_sent_at = self.now;
         self.table.maintenance.mark_probed(endpoint.info.id);
         request.queued = false;
--- a/src/balancer/concurrency.rs
+++ b/src/balancer/concurrency.rs
@@ -4,8 +4,8 @@
 use super::interface::Timestamp;
 use super::latency::LatencyEstimator;
 
-/// Initial limit, in attempts; also the minimum.
-const INITIAL_LIMIT: f64 = 2.0;
+/// Minimum limit, in attempts; also the initial one.
+const MIN_LIMIT: f64 = 2.0;
 /// The limit is at least this multiple of the concurrency that the served requests within quota need without
 /// load.
 const DEMAND_MULTIPLE: f64 = 3.5;
@@ -26,7 +26,7 @@
     pub(super) has_queue: bool,
 }
 
-/// Limit of the attempts in flight at an endpoint of mean size, over all nodes together.
+/// Limit of the attempts that an endpoint of mean size executes at once, over all nodes together.
 pub(super) struct ConcurrencyLimit {
     limit: f64,
     node_count: f64,
@@ -37,7 +37,7 @@
 impl ConcurrencyLimit {
     pub(super) fn new(node_count: u32) -> ConcurrencyLimit {
         let demand = DecayingCounter::default();
-        ConcurrencyLimit { limit: INITIAL_LIMIT, node_count: f64::from(node_count), demand }
+        ConcurrencyLimit { limit: MIN_LIMIT, node_count: f64::from(node_count), demand }
     }
 
     /// Returns this node's share of the limit, in attempts: `limit / node_count`.
@@ -51,7 +51,7 @@
     /// local load visibility = min(2 * limit / node_count, 1)
     /// ```
     ///
-    /// A node whose share of the limit is less than half an attempt mostly counts 0 attempts in flight,
+    /// A node whose share of the limit is less than half an attempt mostly counts 0 attempts as executing,
     /// however loaded the endpoint is.
     pub(super) fn local_load_visibility(&self) -> f64 {
         (2.0 * self.limit / self.node_count).min(1.0)
@@ -66,7 +66,7 @@
     /// lowers it if the response was late.
     ///
     /// ```text
-    /// limit              = max(limit * factor, DEMAND_MULTIPLE * needed concurrency, INITIAL_LIMIT)
+    /// limit              = max(limit * factor, DEMAND_MULTIPLE * needed concurrency, MIN_LIMIT)
     /// needed concurrency = demand * node count / ready endpoints
     ///
     /// factor   LIMIT_DECREASE_FACTOR, LIMIT_GROWTH_FACTOR or 1
@@ -92,6 +92,6 @@
             self.demand.rate_per_us(now) * self.node_count / ready_endpoints.max(1) as f64;
         // If all endpoints slow down, every response is late; lowering the limit further would only serve
         // fewer requests.
-        self.limit = (self.limit * factor).max(DEMAND_MULTIPLE * needed_concurrency).max(INITIAL_LIMIT);
+        self.limit = (self.limit * factor).max(DEMAND_MULTIPLE * needed_concurrency).max(MIN_LIMIT);
     }
 }
--- a/src/balancer/decay.rs
+++ b/src/balancer/decay.rs
@@ -2,7 +2,9 @@
 
 use super::interface::Timestamp;
 
-/// Time constant of all decay, in microseconds: a count falls to 1/e of its value in this time.
+/// Time constant of exponential decay, in microseconds: a count falls to 1/e of its value in this time. Also
+/// the time without attempts after which the mean wait at endpoints and an endpoint's latency ratio no longer
+/// count: the mean wait decreases linearly to 0, and the latency ratio counts in full until then.
 pub(super) const DECAY_TIME_US: f64 = 3_000_000.0;
 /// Minimum time, in microseconds, that a rate is computed over: a single event does not determine a rate.
 const MIN_RATE_WINDOW_US: f64 = 1_000_000.0;
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -19,7 +19,7 @@
     /// fraction of the relative size that decreases with the distance from the subset.
     pub(super) selection_weight: f64,
     /// Number of this node's attempts that the endpoint is executing.
-    pub(super) in_flight: u32,
+    pub(super) executing: u32,
     /// When this node last sent an attempt to the endpoint; the start of the clock if it never did.
     pub(super) last_sent_at: Timestamp,
     pub(super) outliers: EndpointOutliers,
@@ -33,7 +33,7 @@
             info,
             relative_size: 0.0,
             selection_weight: 0.0,
-            in_flight: 0,
+            executing: 0,
             last_sent_at: Timestamp::default(),
             outliers: EndpointOutliers::new(class_count),
             latency_ratio: LatencyRatio(1.0),
@@ -91,15 +91,15 @@
             }
         }
         self.endpoints
-            .retain(|endpoint| endpoint.info.state != EndpointState::Gone || endpoint.in_flight > 0);
+            .retain(|endpoint| endpoint.info.state != EndpointState::Gone || endpoint.executing > 0);
         states(&self.endpoints) != before
     }
 
     /// Resets what was learned about an endpoint, and keeps only what is still valid after its restart.
     pub(super) fn reset_learned_state(&mut self, i: usize, info: EndpointInfo, class_count: usize) {
-        let Endpoint { relative_size, selection_weight, in_flight, .. } = self.endpoints[i];
+        let Endpoint { relative_size, selection_weight, executing, .. } = self.endpoints[i];
         let fresh = Endpoint::new(info, class_count);
-        self.endpoints[i] = Endpoint { relative_size, selection_weight, in_flight, ..fresh };
+        self.endpoints[i] = Endpoint { relative_size, selection_weight, executing, ..fresh };
     }
 
     /// Recomputes which endpoints are ready, and their relative sizes.
@@ -144,8 +144,8 @@
         settings.slow_start_from + (1.0 - settings.slow_start_from) * progress
     }
 
-    /// Counts a failure at an endpoint, updates the baseline of its peers, which are the ready endpoints by
-    /// default, and ejects the endpoint.
+    /// Counts a failure at an endpoint, updates the number of failures that is normal among its peers, which
+    /// are the ready endpoints by default, and ejects the endpoint.
     pub(super) fn record_failure(
         &mut self,
         i: usize,
@@ -157,10 +157,10 @@
         let endpoints = &mut self.endpoints;
         endpoints[i].outliers.detector(kind).recent.add(now, 1.0);
         let recent = |peer: &usize| endpoints[*peer].outliers.detector(kind).recent.value_at(now);
-        let baseline = kind.baseline(peers.iter().map(recent).collect());
+        let normal_failures = kind.normal_failures(peers.iter().map(recent).collect());
         for peer in peers {
-            let counter = DecayingCounter::starting_with(baseline, now);
-            endpoints[*peer].outliers.detector(kind).baseline = counter;
+            let counter = DecayingCounter::starting_with(normal_failures, now);
+            endpoints[*peer].outliers.detector(kind).normal_failures = counter;
         }
         endpoints[i].outliers.detector(kind).eject(now);
     }
--- a/src/balancer/feedback.rs
+++ b/src/balancer/feedback.rs
@@ -11,10 +11,13 @@
 impl Balancer {
     /// Updates the statistics with the outcome of an attempt.
     ///
-    /// Every attempt stops counting as in flight at its endpoint. Apart from that, the statistics ignore two
-    /// kinds of attempts. If the endpoint was not executing a served attempt, because the request was
-    /// incomplete or the response had begun, the elapsed time does not show the endpoint's speed. An attempt
-    /// that was sent before the endpoint exited maintenance does not show its present state.
+    /// Every attempt stops counting as executing at its endpoint. Apart from that, the statistics ignore two
+    /// kinds of attempts:
+    ///
+    /// - A served attempt that the endpoint is no longer executing, as its response has already begun, or not
+    ///   yet, as the request is incomplete. The elapsed time does not show the endpoint's speed.
+    /// - An attempt that was sent before the endpoint exited maintenance. It does not show the endpoint's
+    ///   present state.
     pub(super) fn record_outcome(
         &mut self,
         entry: &QueuedRequest,
@@ -23,7 +26,7 @@
         elapsed: Duration,
     ) {
         let Ok(i) = self.table.find(attempt.endpoint.id) else { return };
-        self.table.endpoints[i].in_flight -= u32::from(attempt.executing);
+        self.table.endpoints[i].executing -= u32::from(attempt.executing);
         let (served, elapsed_us) = (outcome == Outcome::Served, as_micros_f64(elapsed));
         let sent_at = self.now - elapsed;
         if served && !attempt.executing
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -36,19 +36,20 @@
 /// flight.
 ///
 /// ```text
-/// hedge time = sent + max(objective - sent - HEDGE_MEDIAN_MULTIPLE * median, likely)
-/// likely     = LIKELY_MULTIPLE * median
+/// hedge time = sent + max(objective - sent - HEDGE_MEDIAN_MULTIPLE * median, expected)
+/// expected   = EXPECTED_LATENCY_MULTIPLE * median
 ///
 /// sent       time at which the last attempt in flight was sent, in microseconds
 /// objective  time by which a response meets the latency objective, in microseconds
 /// median     median latency of the class in microseconds
-/// likely     time within which a response is expected, in microseconds
+/// expected   expected latency of a response, in microseconds; the response is overdue after this time
 /// ```
 ///
-/// `LIKELY_MULTIPLE` is the constant of [`LatencyEstimator::likely_us`].
+/// `EXPECTED_LATENCY_MULTIPLE` is the constant of [`LatencyEstimator::expected_latency_us`].
 pub(super) fn hedge_time(request: &ActiveRequest, latency: &LatencyEstimator) -> Option<Timestamp> {
     let last = request.in_flight().next_back()?;
     let objective_us = request.entry.objective_at.micros_since(last.sent_at);
-    let delay_us = (objective_us - HEDGE_MEDIAN_MULTIPLE * latency.median_us).max(latency.likely_us());
+    let delay_us =
+        (objective_us - HEDGE_MEDIAN_MULTIPLE * latency.median_us).max(latency.expected_latency_us());
     Some(last.sent_at + duration_from_micros_f64(delay_us))
 }
--- a/src/balancer/interface/event.rs
+++ b/src/balancer/interface/event.rs
@@ -31,7 +31,8 @@
     ExitMaintenance(EndpointId, Timestamp),
     /// A request has arrived and needs one final answer.
     RequestArrived(Request),
-    /// The client has disconnected; the request needs no answer any more.
+    /// The client has disconnected or failed to send the whole body, or the shutdown deadline has passed. The
+    /// balancer need not answer the request any more.
     ClientDisconnected(RequestId),
     /// A request's body is being streamed to an endpoint and no copy is kept, so the request can't be sent
     /// again. The time until the client stops waiting starts with the last byte of the body, so the balancer
@@ -107,13 +108,17 @@
     Rejected,
     /// There was no response in time; the request may have been executed, or may be executed later.
     TimedOut,
-    /// No connection was established; the request was not executed.
+    /// No connection was established, or the connection broke before the complete request was written. The
+    /// request was not executed.
     ConnectFailed,
-    /// The connection was lost; the request may have been executed.
+    /// No valid response was received completely: the connection broke, the response stalled, could not be
+    /// parsed, had ambiguous framing or a body that is too large, or it was a 200 before the last byte of the
+    /// request. The request may have been executed.
     Reset,
     /// The attempt was cancelled; the request may have been executed.
     Cancelled,
-    /// The attempt was never sent; the request was not executed.
+    /// The request was never sent completely, so it was not executed. For example, no connection was
+    /// available in time, or the client did not send the whole body. This is not a failure of the endpoint.
     NotSent,
 }
 
@@ -133,7 +138,9 @@
     pub attempt: AttemptNumber,
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since the attempt was sent.
+    /// Time from the sending of the attempt, or from the last byte of the request if that was received later,
+    /// to the start of a streamed response, or else to the end of the attempt. Zero if the last byte was
+    /// never received.
     pub elapsed: Duration,
     /// Whether the request needs no answer any more.
     pub request_finished: bool,
--- a/src/balancer/interface/settings.rs
+++ b/src/balancer/interface/settings.rs
@@ -113,7 +113,7 @@
     pub slow_start_window: Duration,
     /// Multiple of its current capacity at which an endpoint in slow start fails.
     pub overload_multiple: f64,
-    /// Clock granularity: the maximum time between two events at which the clock advances.
+    /// Clock granularity: the maximum step by which the clock advances from one event to the next.
     pub clock_granularity: Duration,
     /// Maximum Retry-After that a rejected client honours.
     pub max_retry_after: Duration,
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -10,9 +10,9 @@
 const BASELINE_GROWTH: f64 = 1.00002;
 /// Initial guess of the median and the baseline, as a fraction of the class's latency objective.
 const INITIAL_OBJECTIVE_FRACTION: f64 = 0.25;
-/// A response is expected within this multiple of the median, since half of all responses take longer than
-/// the median.
-const LIKELY_MULTIPLE: f64 = 1.5;
+/// Expected latency of a response, as a multiple of the median. It is above 1 because half of all responses
+/// take longer than the median.
+const EXPECTED_LATENCY_MULTIPLE: f64 = 1.5;
 /// Multiple of the baseline that the median may reach before responses count as slowed down.
 const LATENCY_TOLERANCE: f64 = 1.1;
 /// Number of samples, including the initial guess, up to which the baseline counts as a guess.
@@ -60,9 +60,9 @@
         }
     }
 
-    /// Returns the time in microseconds within which a response is expected.
-    pub(super) fn likely_us(&self) -> f64 {
-        LIKELY_MULTIPLE * self.median_us
+    /// Returns the expected latency in microseconds. A response that takes longer is overdue.
+    pub(super) fn expected_latency_us(&self) -> f64 {
+        EXPECTED_LATENCY_MULTIPLE * self.median_us
     }
 
     /// Returns the slack in microseconds: latency objective minus baseline; negative if the objective can't
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,8 +1,8 @@
 //! The decisions of a node: what to do with each request, and how to use the outcome of each attempt.
 //!
-//! Each tenant has a label, and each label has a small pool of endpoints. A request goes to the one of two
-//! random members of the pool that has less load from this node. `docs/design.md` describes the additions to
-//! this scheme and the reasons for them.
+//! Each tenant has a label, and each label has a pool of endpoints whose size follows its tenants' share of
+//! the service. A request goes to the one of two random members of the pool that has less load from this
+//! node. `docs/design.md` describes the additions to this scheme and the reasons for them.
 //!
 //! The modules are layered, and each depends only on the layers before its own: the `interface`, the
 //! estimators and tables that don't use the [`Balancer`], the balancer's state in this module, and the
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -12,7 +12,8 @@
 pub(super) enum FailureKind {
     /// An error response to a request of this class: it may affect this class alone.
     ClassError(usize),
-    /// A connection that failed or broke, a rejection or a timeout: it may affect requests of any class.
+    /// A connection that failed or broke, an invalid or stalled response, a rejection or a timeout: it may
+    /// affect requests of any class.
     AnyClass,
 }
 
@@ -20,7 +21,7 @@
     /// Returns the number of failures that is normal among peers with these counts: the mean of the counts.
     /// For errors of a class it is the lower quartile, as most peers may return errors for one class while
     /// the others serve it.
-    pub(super) fn baseline(self, mut counts: Vec<f64>) -> f64 {
+    pub(super) fn normal_failures(self, mut counts: Vec<f64>) -> f64 {
         counts.sort_by(f64::total_cmp);
         match self {
             FailureKind::ClassError(_) => counts.get(counts.len() / 4).copied().unwrap_or(0.0),
@@ -35,19 +36,19 @@
     /// Recent failures, decaying.
     pub(super) recent: DecayingCounter,
     /// Number of recent failures that is normal among the endpoint's peers, decaying.
-    pub(super) baseline: DecayingCounter,
+    pub(super) normal_failures: DecayingCounter,
     ejected_until: Timestamp,
 }
 
 impl OutlierDetector {
-    /// Returns the number of recent failures beyond the baseline. Failures that all peers have alike say
-    /// nothing about one endpoint.
+    /// Returns the number of recent failures beyond what is normal among the endpoint's peers. Failures that
+    /// all peers have alike say nothing about one endpoint.
     ///
     /// ```text
-    /// excess failures = max(recent - baseline, 0)
+    /// excess failures = max(recent - normal_failures, 0)
     /// ```
     fn excess_failures(&self, now: Timestamp) -> f64 {
-        (self.recent.value_at(now) - self.baseline.value_at(now)).max(0.0)
+        (self.recent.value_at(now) - self.normal_failures.value_at(now)).max(0.0)
     }
 
     /// Ejects the endpoint for a time in proportion to its excess failures. Afterwards, it is tried again.
--- a/src/balancer/queue.rs
+++ b/src/balancer/queue.rs
@@ -55,8 +55,8 @@
     }
 
     /// Returns the pools to try for a request: its own pool if that has capacity, then the pools that it may
-    /// spill over to. They are included even if the own pool has capacity, since that may be the capacity of
-    /// ejected endpoints.
+    /// spill over to. Other pools are included even if its own pool has capacity, because all of that
+    /// capacity may be at ejected endpoints.
     fn pools_with_capacity(&self, pool: usize, request: &QueuedRequest) -> Vec<usize> {
         let max_utilization = if request.within_quota { 1.0 } else { OVER_QUOTA_MAX_UTILIZATION };
         let own_pool = self.has_capacity(pool, max_utilization).then_some(pool);
@@ -70,9 +70,15 @@
     /// Returns whether a request of the pool `from` may spill over to another pool: that pool's own queue has
     /// to be empty and its utilization below `SPARE_CAPACITY_MAX_UTILIZATION`.
     ///
-    /// If nodes don't see all of the load, the pool may look free to each of them. In that case it accepts
-    /// only a fraction of the requests, `size of the pool / size of from`, chosen by a hash of request and
-    /// pool.
+    /// If a node's own counts don't show all of the load, the pool may look free to all nodes at once. In
+    /// that case it accepts only a fraction of the requests, chosen by a hash of request and pool:
+    ///
+    /// ```text
+    /// accepted fraction = min(size / size of from, 1)
+    ///
+    /// size           number of endpoints in the pool
+    /// size of from   number of endpoints in the pool `from`; all ready endpoints if it is empty
+    /// ```
     fn accepts_spillover(&self, pool: usize, from: usize, request: &QueuedRequest) -> bool {
         let size = self.pools[pool].members.len() as f64;
         let is_within_share = || unit_hash(request.id, pool as u64) * self.members(from).len() as f64 <= size;
@@ -101,15 +107,15 @@
 
     /// Returns whether the response would probably miss the latency objective if the request is sent now.
     pub(super) fn would_be_late(&self, request: &QueuedRequest) -> bool {
-        let likely_us = self.latencies[request.class].likely_us();
-        self.now.as_micros_f64() + likely_us > request.objective_at.as_micros_f64()
+        let expected_latency_us = self.latencies[request.class].expected_latency_us();
+        self.now.as_micros_f64() + expected_latency_us > request.objective_at.as_micros_f64()
     }
 
     /// Returns the latest time to send the request at which its response probably meets the latency
     /// objective.
     pub(super) fn latest_on_time_send(&self, request: &QueuedRequest) -> Timestamp {
         let latest_on_time_send_us =
-            request.objective_at.as_micros_f64() - self.latencies[request.class].likely_us();
+            request.objective_at.as_micros_f64() - self.latencies[request.class].expected_latency_us();
         Timestamp::from_micros(latest_on_time_send_us as u64)
     }
 }
--- a/src/balancer/reevaluation.rs
+++ b/src/balancer/reevaluation.rs
@@ -50,8 +50,8 @@
     fn should_give_up(&self, request: &ActiveRequest) -> bool {
         let entry = &request.entry;
         let late_earns_nothing = !entry.within_quota || self.settings.classes[entry.class].late_weight == 0.0;
-        // If the request was not executed, an even later final answer costs the client more than the small
-        // remaining chance to be sent is worth.
+        // If the request was not executed, the client can retry it. Rejecting it now is better than waiting
+        // for the small chance that it is still sent, since a later rejection costs the client more.
         let waited_too_long = self.now >= request.queue_until && request.not_executed();
         let too_late = self.would_be_late(entry) && (late_earns_nothing || waited_too_long);
         let key_expired =
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -61,7 +61,7 @@
         // all requests that spill over from its neighbours on the ring, would overload it.
         let slow_start = self.table.slow_start_factor(i, self.now, &self.settings);
         let eligible_fraction = slow_start * (self.settings.overload_multiple / 2.0).max(1.0);
-        (endpoint.in_flight == 0 || f64::from(endpoint.in_flight) < self.capacity(i).ceil())
+        (endpoint.executing == 0 || f64::from(endpoint.executing) < self.capacity(i).ceil())
             && (eligible_fraction >= 1.0
                 || self.is_probe_pending(i)
                 || unit_hash(request.entry.id, id) <= eligible_fraction)
@@ -70,7 +70,7 @@
     }
 
     /// Samples two endpoints, with a higher probability for endpoints with a larger selection weight and a
-    /// lower latency ratio. If there are many nodes, most of them have no attempt in flight at either
+    /// lower latency ratio. If there are many nodes, most of them have no attempt executing at either
     /// endpoint, and the comparison of loads alone would send nearly all requests to the largest endpoint.
     ///
     /// The sample is taken by weighted rendezvous hashing: it consists of the two endpoints with the lowest
@@ -107,7 +107,7 @@
         members.filter(|members| !members.is_empty()).unwrap_or(&self.table.ready)
     }
 
-    /// Returns the number of attempts that this node may have in flight at an endpoint: the node's share of
+    /// Returns the number of this node's attempts that an endpoint may execute at once: the node's share of
     /// the concurrency limit, scaled by the endpoint's size, slow start and speed.
     ///
     /// ```text
@@ -136,37 +136,37 @@
     /// local load visibility   how much of the load this node's own counts show, from 0 to 1
     /// ```
     ///
-    /// A node whose own counts show little of the load may thus have one attempt in flight for each endpoint
+    /// A node whose own counts show little of the load may thus have one attempt executing for each endpoint
     /// of its subset. Its share of a concurrency limit that has not been learned yet would allow none.
     pub(super) fn has_capacity(&self, pool: usize, fraction: f64) -> bool {
         let members = self.members(pool);
-        let in_flight = f64::from(members.iter().map(|i| self.table.endpoints[*i].in_flight).sum::<u32>());
+        let executing = f64::from(members.iter().map(|i| self.table.endpoints[*i].executing).sum::<u32>());
         let hidden_load = 1.0 - self.concurrency.local_load_visibility();
         let always_allowed =
             self.pools.get(pool).map_or(1.0, |pool| (pool.subset_size * hidden_load).max(1.0));
-        in_flight < always_allowed
-            || in_flight < fraction * members.iter().map(|i| self.capacity(*i)).sum::<f64>()
+        executing < always_allowed
+            || executing < fraction * members.iter().map(|i| self.capacity(*i)).sum::<f64>()
     }
 
     /// Returns the load per capacity of an endpoint for a request of a class.
     ///
     /// ```text
-    /// load = (in flight + own + excess failures) / capacity
+    /// load = (executing + own + excess failures) / capacity
     ///
-    /// in flight         attempts of this node that the endpoint is executing
+    /// executing         attempts of this node that the endpoint is executing
     /// own               1 for the request itself if this node's own counts show all of the load, else 0
     /// excess failures   recent failures of the endpoint beyond what is normal among its peers
-    /// capacity          number of attempts that this node may have in flight at the endpoint
+    /// capacity          number of this node's attempts that the endpoint may execute at once
     /// ```
     ///
-    /// Failures are included because an endpoint that fails quickly has few attempts in flight and would win
-    /// every comparison. The request itself is included only where the node's own counts show all of the
-    /// load: other nodes often have no attempt in flight anywhere, and would send nearly all requests to the
+    /// Failures are included because an endpoint that fails quickly executes few attempts at once and would
+    /// win every comparison. The request itself is included only where the node's own counts show all of the
+    /// load: other nodes often have no attempt executing anywhere, and would send nearly all requests to the
     /// largest endpoint.
     fn load(&self, i: usize, class: usize) -> f64 {
         let endpoint = &self.table.endpoints[i];
         let own = f64::from(u8::from(self.concurrency.is_load_fully_visible()));
         let excess_failures = endpoint.outliers.excess_failures(class, self.now);
-        (f64::from(endpoint.in_flight) + own + excess_failures) / self.capacity(i)
+        (f64::from(endpoint.executing) + own + excess_failures) / self.capacity(i)
     }
 }
--- a/src/balancer/streaming.rs
+++ b/src/balancer/streaming.rs
@@ -16,7 +16,7 @@
         if let Some(attempt) = request.first_in_flight().filter(|attempt| attempt.executing) {
             attempt.executing = false;
             if let Some(endpoint) = self.table.get_mut(attempt.endpoint.id) {
-                endpoint.in_flight -= 1;
+                endpoint.executing -= 1;
             }
             self.dispatch();
         }
@@ -30,7 +30,7 @@
         let Some(attempt) = attempt else { return };
         attempt.sent_at = self.now;
         if let Some(endpoint) = self.table.get_mut(attempt.endpoint.id) {
-            endpoint.in_flight += 1;
+            endpoint.executing += 1;
             attempt.executing = true;
         }
     }
--- a/src/node/engine/event.rs
+++ b/src/node/engine/event.rs
@@ -33,7 +33,8 @@
         /// Sender for the final answer.
         answer_sender: oneshot::Sender<FinalAnswer>,
     },
-    /// The client has closed its connection, so the request needs no answer any more.
+    /// The client has disconnected or failed to send the whole body, or the shutdown deadline has passed. The
+    /// engine need not answer the request any more.
     ClientDisconnected(RequestId),
     /// An attempt has ended without a response for the client, or its streaming response has ended.
     AttemptEnded {
--- a/src/node/upstream/request.rs
+++ b/src/node/upstream/request.rs
@@ -35,7 +35,8 @@
     /// Time from which on no attempt may begin, because endpoints may no longer remember that they have
     /// executed the request. `None` if there is no such limit.
     pub begin_by: Cell<Option<Instant>>,
-    /// Whether the client has disconnected. Attempts that have written nothing yet are then not sent.
+    /// Whether the client has disconnected or failed to send the whole body, or the shutdown deadline has
+    /// passed. Attempts that have written nothing yet are then not sent.
     pub client_disconnected: Cell<bool>,
 }
 
--- a/src/settings_format.rs
+++ b/src/settings_format.rs
@@ -40,7 +40,10 @@
         expected: String,
     },
     /// The count of a list exceeds the number of settings in the text, so some objects have no setting.
-    #[error("setting {list}.count is {count}, but there are only {settings} settings")]
+    #[error(
+        "setting {list}.count is {count}, but each object needs at least one setting of its own, and the \
+        total number of settings is {settings}"
+    )]
     TooManyObjects {
         /// Path of the list.
         list: &'static str,
