--- a/src/node/admin/service.rs
+++ b/src/node/admin/service.rs
@@ -73,7 +73,7 @@
     /// Changes the state, and returns once all processes have had time to apply it.
     async fn update(&self, change: impl FnOnce(&mut AdminState)) -> Result<(), CommandError> {
         if let Err(error) = self.store.update(change).await {
-            log!("cannot execute an admin command: {}", ErrorChain(&error));
+            log!("admin command not executed, standby and maintenance are unchanged: {}", ErrorChain(&error));
             return Err(CommandError::StateNotWritten(error));
         }
         self.reconcile();
--- a/src/node/config/limits.rs
+++ b/src/node/config/limits.rs
@@ -40,7 +40,7 @@
     pub max_connections: usize,
     /// Maximum number of connections for each of the two processes during a hot restart. Each process needs
     /// the reserved descriptors and the memory of the program itself.
-    pub max_connections_shared: usize,
+    pub max_connections_during_hot_restart: usize,
     /// Memory that the node may use, in bytes.
     pub memory: usize,
     /// Maximum number of bytes that a connection buffers in each direction, which also limits the head of a
@@ -58,7 +58,7 @@
         let limit_for = |processes| max_connections(descriptors, memory, connection_buffer, processes);
         ResourceLimits {
             max_connections: limit_for(1),
-            max_connections_shared: limit_for(2),
+            max_connections_during_hot_restart: limit_for(2),
             memory,
             connection_buffer,
         }
--- a/src/node/discovery/backoff.rs
+++ b/src/node/discovery/backoff.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-/// Base delay after the first failure; each further consecutive failure adds the same amount.
-const BASE_DELAY: Duration = Duration::from_millis(150);
+/// The base delay after the first failure, and the amount that each further consecutive failure adds to it.
+const DELAY_STEP: Duration = Duration::from_millis(150);
 /// Number of consecutive failures up to which the base delay grows.
 const MAX_BACKOFF_STEPS: u32 = 4;
 /// Maximum time from the start of a failed watch to the start of the next one. It can be exceeded only if the
-/// failed watch took longer than `MAX_RECONNECT_INTERVAL − 2 · BASE_DELAY`, because the base delay is never
-/// shorter than `BASE_DELAY`.
+/// failed watch took longer than `MAX_RECONNECT_INTERVAL − 2 · DELAY_STEP`, because the base delay is never
+/// shorter than `DELAY_STEP`.
 ///
-/// Discovery that is down does not respond. When it is back, its changes count as known to the node at once,
-/// and a draining endpoint may be sent new requests for 2 s more. The next watch has to start within these
-/// 2 s, even if discovery comes back right after the previous watch has started.
+/// Discovery that is down does not respond. The protocol allows new requests to a draining endpoint for 2 s
+/// after discovery is back, whether or not the node has received that state. The next watch has to start
+/// within these 2 s, even if discovery comes back right after the previous watch has started.
 const MAX_RECONNECT_INTERVAL: Duration = Duration::from_millis(1700);
 
 /// Reconnect backoff, linear in the number of consecutive failures, with jitter, and bounded by
@@ -20,7 +20,7 @@
 ///
 /// ```text
 /// delay = d · (1 + U)
-/// d     = min(BASE_DELAY · min(n, MAX_BACKOFF_STEPS), max((MAX_RECONNECT_INTERVAL − t) / 2, BASE_DELAY))
+/// d     = min(DELAY_STEP · min(n, MAX_BACKOFF_STEPS), max((MAX_RECONNECT_INTERVAL − t) / 2, DELAY_STEP))
 /// ```
 ///
 /// where
@@ -59,8 +59,8 @@
     /// Returns the delay before the next watch. `elapsed` is the time from the start of the failed watch to
     /// its failure.
     pub(super) fn next_delay(&mut self, elapsed: Duration) -> Duration {
-        let max_base_delay = (MAX_RECONNECT_INTERVAL.saturating_sub(elapsed) / 2).max(BASE_DELAY);
-        let base_delay = (BASE_DELAY * self.failures.min(MAX_BACKOFF_STEPS)).min(max_base_delay);
+        let max_base_delay = (MAX_RECONNECT_INTERVAL.saturating_sub(elapsed) / 2).max(DELAY_STEP);
+        let base_delay = (DELAY_STEP * self.failures.min(MAX_BACKOFF_STEPS)).min(max_base_delay);
         base_delay + base_delay.mul_f64(self.random.f64())
     }
 }
--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -110,7 +110,8 @@
     fn record_failure(&mut self, error: &WatchError) {
         if self.backoff.record_failure() {
             log!(
-                "discovery watch failed: {}; the next watch starts from revision {}",
+                "discovery watch failed: {}; the next one starts from revision {}; further failures are \
+                 logged only after a watch has opened or the address of discovery has changed",
                 ErrorChain(error),
                 self.revision
             );
--- a/src/node/discovery/watch.rs
+++ b/src/node/discovery/watch.rs
@@ -28,8 +28,9 @@
 /// Time without a complete list or empty line after which a watch counts as broken; discovery sends a line
 /// every 2 s.
 ///
-/// Changes that a silent watch misses count as known to the node after 6 s, and the next watch may be silent
-/// too. The third watch has to be open within these 6 s, which include the delays between the watches.
+/// According to the protocol, a change counts as known to the node 6 s after its watch fell silent, whether
+/// or not the node has received it. The next watch may be silent too, so the third one has to be open within
+/// these 6 s, which include the delays between the watches.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2400);
 
 /// Reason why a watch ended.
@@ -78,7 +79,7 @@
     #[error("no complete list or empty line received for {SILENCE_TIMEOUT:?}")]
     Silent,
     /// Discovery ended the response.
-    #[error("the response ended")]
+    #[error("discovery closed the watch")]
     Ended,
     /// Receiving the response failed.
     #[error("receiving the response failed")]
--- a/src/node/downstream/connection.rs
+++ b/src/node/downstream/connection.rs
@@ -12,17 +12,17 @@
 /// Maximum time for a client to send a request head, maximum time from the head to the first data of its
 /// body, and maximum time for which a connection stays idle. A client that needs a connection later opens a
 /// new one.
-pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
+pub const CLIENT_SEND_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Maximum time from accepting a connection to the end of its first request's head. It ensures that a
 /// connection is closed within 3 s if no head is completed on it.
 const FIRST_HEAD_TIMEOUT: Duration = Duration::from_millis(2800);
 /// Maximum time for which a client may read nothing while a response is waiting to be written.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Minimum age at which an unused connection is closed to free capacity. Clients usually connect because they
-/// have a request to send.
+/// Minimum age at which the node closes an idle connection that has served no request, whatever the reason
+/// for closing it is. Clients usually connect because they have a request to send.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(300);
-/// Minimum idle time after which a connection that has served a request is closed to free capacity. The next
-/// request may already be on its way.
+/// Minimum idle time after which the node closes a connection that has served a request, whatever the reason
+/// for closing it is. The next request may already be on its way.
 const MIN_IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(100);
 
 /// The state of a connection, shared by its own task, the connection table and the periodic sweeps.
@@ -93,7 +93,7 @@
     /// For the first request of the connection the timeout starts when the connection is accepted.
     pub fn body_deadline(&self) -> Instant {
         let started = if self.is_first_request_pending() { self.accepted_at } else { Instant::now() };
-        started + REQUEST_TIMEOUT
+        started + CLIENT_SEND_TIMEOUT
     }
 
     /// Returns whether some bytes of a request have been read, or have been received and can be read.
@@ -125,7 +125,7 @@
     /// head is being received.
     fn head_deadline(&self) -> Option<Instant> {
         self.idle_since.get()?;
-        let deadline = self.observer.head_started_at()? + REQUEST_TIMEOUT;
+        let deadline = self.observer.head_started_at()? + CLIENT_SEND_TIMEOUT;
         Some(match self.is_first_request_pending() {
             true => deadline.min(self.accepted_at + FIRST_HEAD_TIMEOUT),
             false => deadline,
--- a/src/node/downstream/request.rs
+++ b/src/node/downstream/request.rs
@@ -20,9 +20,9 @@
 };
 use crate::upstream::UpstreamRequest;
 
-/// Time in transit, subtracted once from each deadline. A deadline counts from when the client sends the
-/// request: this much of it has passed when the node reads the request, and this much passes again before the
-/// response has arrived at the client.
+/// Time in transit in one direction, subtracted once from each deadline. A deadline counts from when the
+/// client sends the request: this much of it has passed when the node reads the request. This much passes
+/// again before the response has arrived at the client, but it is not subtracted a second time.
 const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(3);
 /// `Host` header of requests to endpoints, used if the client sent none.
 const DEFAULT_HOST: HeaderValue = HeaderValue::from_static("origin.svc");
--- a/src/node/downstream/server.rs
+++ b/src/node/downstream/server.rs
@@ -1,4 +1,4 @@
-//! The interface of the downstream module to the lifecycle and the admin API.
+//! The interface of the downstream module to the startup and the lifecycle of the node.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use crate::body::BufferBudget;
 use crate::config::Config;
-use crate::downstream::connection::REQUEST_TIMEOUT;
+use crate::downstream::connection::CLIENT_SEND_TIMEOUT;
 use crate::downstream::connections::{ConnectionLimits, ConnectionTable};
 use crate::downstream::handler::RequestHandler;
 use crate::downstream::service::ConnectionService;
@@ -84,20 +84,21 @@
         }
     }
 
-    /// Closes connections that have been idle for [`REQUEST_TIMEOUT`], and aborts those that are stuck.
+    /// Closes connections that have been idle for [`CLIENT_SEND_TIMEOUT`], and aborts those that are stuck.
     pub async fn run_idle_sweep(&self) {
         loop {
             sleep(SWEEP_INTERVAL).await;
-            self.connections.close_idle(REQUEST_TIMEOUT);
+            self.connections.close_idle(CLIENT_SEND_TIMEOUT);
             self.connections.abort_stuck();
         }
     }
 }
 
 impl ClientConnections for DownstreamServer {
-    fn share_descriptors(&self, shared: bool) {
+    fn set_hot_restart_limits(&self, active: bool) {
         let limits = &self.config.limits;
-        let descriptors = if shared { limits.max_connections_shared } else { limits.max_connections };
+        let descriptors =
+            if active { limits.max_connections_during_hot_restart } else { limits.max_connections };
         self.upstream.set_max_connections(max_upstream_connections(descriptors));
         self.connections.set_limits(ConnectionLimits::new(descriptors, self.upstream.max_connections()));
     }
--- a/src/node/engine/handle.rs
+++ b/src/node/engine/handle.rs
@@ -9,8 +9,8 @@
 use super::event::EngineEvent;
 use crate::upstream::{ListedEndpoint, UpstreamPool};
 
-/// Number of the highest bits of request ids that are 0. The numbers of timer tokens that belong to no
-/// request have these bits set.
+/// Request ids start with this many leading zero bits, so that they never reach the numbers of
+/// `TimerToken::Dispatch` and `TimerToken::Discovery`.
 const RESERVED_ID_BITS: u32 = 2;
 
 /// Sends events to the engine. A change that must affect running attempts at once is applied to the
--- a/src/node/lifecycle/hot_restart.rs
+++ b/src/node/lifecycle/hot_restart.rs
@@ -36,7 +36,8 @@
     store: Rc<StateStore>,
     lifecycle: Rc<Lifecycle>,
     connections: Rc<C>,
-    /// Start number of this process; the first process of a node has 1.
+    /// Start number of this process; the first process of a node has 1. It is 0 if the start could not be
+    /// registered.
     start_number: u64,
     started_at: Instant,
     /// Start number of the most recently started process of the node.
@@ -57,7 +58,11 @@
     ) -> HotRestart<C> {
         let mut start_number = 0;
         if let Err(error) = store.update(|state| start_number = state.register_process()).await {
-            log!("cannot register this process in the state file: {}", ErrorChain(&error));
+            log!(
+                "cannot register this process in the state file: {}; if a predecessor still runs, it \
+                 releases no descriptors, and this process does not wait for them",
+                ErrorChain(&error)
+            );
         }
         let now = Instant::now();
         HotRestart {
@@ -87,7 +92,7 @@
     /// Performs the actions that are due at `now`.
     fn step(&mut self, now: Instant) {
         self.update_latest_start_number(now);
-        self.connections.share_descriptors(self.shares_descriptors(now));
+        self.connections.set_hot_restart_limits(self.shares_descriptors(now));
         if self.can_release_descriptors(now) {
             self.store.release_descriptors(self.latest_start_number);
             self.released_to = self.latest_start_number;
--- a/src/node/lifecycle/mod.rs
+++ b/src/node/lifecycle/mod.rs
@@ -24,13 +24,14 @@
     Serving,
     /// An operator drains the node: the health check fails, and idle connections are closed.
     Standby,
-    /// The process shuts down. `successor` is present if another process has its listening socket.
+    /// The process shuts down. `successor` is present if the listening socket was inherited, so that a
+    /// successor is assumed.
     Draining {
         successor: Option<Successor>,
     },
 }
 
-/// The process that takes over in a hot restart.
+/// The process that is assumed to take over in a hot restart.
 #[derive(Clone, Copy, PartialEq)]
 struct Successor {
     /// Whether the node is in standby, which during the shutdown applies to the successor.
@@ -42,7 +43,7 @@
 enum Readiness {
     /// The predecessor may still hold descriptors that this process needs.
     AwaitingDescriptors,
-    /// No endpoint has been ready yet.
+    /// No endpoint has been listed as ready yet.
     AwaitingEndpoint,
     /// The process has been able to serve requests. It stays ready from then on.
     Ready,
@@ -50,9 +51,9 @@
 
 /// The operations on connections that the lifecycle needs.
 pub trait ClientConnections {
-    /// Limits downstream and upstream connections together to half of the node's descriptors if `shared` is
+    /// Limits downstream and upstream connections together to half of the node's descriptors if `active` is
     /// true, and to all of them otherwise. Connections above the limit are closed as soon as they are idle.
-    fn share_descriptors(&self, shared: bool);
+    fn set_hot_restart_limits(&self, active: bool);
 
     /// Returns whether there are more downstream connections than the limit. Those that are closing count.
     fn exceeds_limit(&self) -> bool;
@@ -73,8 +74,8 @@
 }
 
 impl Lifecycle {
-    /// Creates the lifecycle of a process in the serving phase. It becomes ready once `upstream` has a ready
-    /// endpoint.
+    /// Creates the lifecycle of a process in the serving phase. It becomes ready once `upstream` has an
+    /// endpoint that is listed as ready.
     pub fn new(upstream: Rc<UpstreamPool>) -> Lifecycle {
         Lifecycle {
             upstream,
@@ -102,7 +103,7 @@
 
     /// Returns whether requests can be served, or could be served at an earlier time.
     pub fn is_ready(&self) -> bool {
-        if self.readiness.get() == Readiness::AwaitingEndpoint && self.upstream.has_ready_endpoint() {
+        if self.readiness.get() == Readiness::AwaitingEndpoint && self.upstream.has_listed_ready_endpoint() {
             self.readiness.set(Readiness::Ready);
         }
         self.readiness.get() == Readiness::Ready
@@ -158,7 +159,7 @@
     }
 
     /// Begins the graceful shutdown: each response closes its connection from now on. `has_successor` is true
-    /// if another process accepts new connections on the same listening socket.
+    /// if the listening socket was inherited. A successor is then assumed, which accepts new connections.
     fn begin_shutdown(&self, has_successor: bool) {
         let standby = self.is_standby();
         self.phase.set(Phase::Draining { successor: has_successor.then_some(Successor { standby }) });
--- a/src/node/lifecycle/shutdown.rs
+++ b/src/node/lifecycle/shutdown.rs
@@ -1,8 +1,8 @@
 //! Graceful shutdown, from SIGTERM to the exit of the process.
 //!
-//! 1. Each response closes its connection. Unless a successor accepts new connections, this process does so
-//!    for [`ACCEPT_GRACE_PERIOD`].
-//! 2. After this period, the process closes idle connections and, unless there is a successor, accepts the
+//! 1. Each response closes its connection. This process accepts new connections for [`ACCEPT_GRACE_PERIOD`],
+//!    unless the listener was inherited: then a successor is assumed, which accepts them.
+//! 2. After this period, the process closes idle connections and, unless a successor is assumed, accepts the
 //!    connections that remain in the backlog.
 //! 3. At the shutdown deadline, requests that still wait for a response fail at once, and new requests are
 //!    rejected.
@@ -30,11 +30,11 @@
 /// SIGTERM to SIGKILL is at least:
 ///
 /// ```text
-/// kill_delay = min(longest_deadline, MAX_REQUEST_DEADLINE) + 0.7 s
+/// kill_delay = min(longest_deadline, REQUEST_DEADLINE_CAP) + 0.7 s
 /// ```
 ///
 /// `longest_deadline` is the longest deadline of all request classes.
-const MAX_REQUEST_DEADLINE: Duration = Duration::from_secs(3);
+const REQUEST_DEADLINE_CAP: Duration = Duration::from_secs(3);
 
 /// The share of those 0.7 s in which requests may still wait for their responses. The remaining 0.3 s are for
 /// responding to all requests that still wait at the shutdown deadline.
@@ -54,7 +54,8 @@
     pub accept_task: JoinHandle<()>,
     /// Tells `accept_task` to accept the connections in the backlog and to end.
     pub stop_accepting: Rc<Notify>,
-    /// Whether another process of the node has the listening socket or will get it.
+    /// Whether the listening socket was inherited. A successor is then assumed, which has the socket or will
+    /// get it.
     pub has_successor: bool,
     /// Longest deadline of a request.
     pub longest_deadline: Duration,
@@ -65,8 +66,12 @@
 impl<C: ClientConnections> GracefulShutdown<C> {
     /// Shuts down, and returns when the process may exit.
     pub async fn run(mut self) {
-        let deadline = Instant::now() + self.longest_deadline.min(MAX_REQUEST_DEADLINE) + SHUTDOWN_MARGIN;
-        log!("{}: shutting down gracefully", self.node_name);
+        let deadline = Instant::now() + self.longest_deadline.min(REQUEST_DEADLINE_CAP) + SHUTDOWN_MARGIN;
+        log!(
+            "{}: shutting down gracefully after SIGTERM; requests without a response fail in {:.2} s",
+            self.node_name,
+            (deadline - Instant::now()).as_secs_f64()
+        );
         self.lifecycle.begin_shutdown(self.has_successor);
         if self.has_successor {
             // The successor accepts the connections in the backlog. Clients with an open connection reconnect
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -52,9 +52,9 @@
 
 /// Serves until SIGTERM, and then shuts down gracefully.
 async fn serve(inherited: Option<std::net::TcpListener>) -> Result<(), StartError> {
-    let Signals { hang_up, mut terminate } = Signals::install()?;
-    let shutdown = startup::start(inherited, hang_up).await?;
-    terminate.recv().await;
+    let Signals { sighup, mut sigterm } = Signals::install()?;
+    let shutdown = startup::start(inherited, sighup).await?;
+    sigterm.recv().await;
     shutdown.run().await;
     Ok(())
 }
--- a/src/node/protocol/headers.rs
+++ b/src/node/protocol/headers.rs
@@ -2,7 +2,8 @@
 
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// `Req-Id`: identifies a request. Every request has a new one, including a client's retry.
+/// `Req-Id`: identifies a request. Clients should use a new one for each request, including each retry. The
+/// node rejects a repeated one only while the other request is open.
 pub const REQ_ID: HeaderName = HeaderName::from_static("req-id");
 /// `Idempotency-Key`: the key by which endpoints recognise a retry, in classes that have one.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
--- a/src/node/startup/error.rs
+++ b/src/node/startup/error.rs
@@ -27,8 +27,8 @@
         /// The cause.
         source: io::Error,
     },
-    /// The environment has no path of a configuration file.
-    #[error("{CONFIG_VARIABLE} does not name a configuration file")]
+    /// The environment variable for the path of the configuration file is not set or is not UTF-8.
+    #[error("{CONFIG_VARIABLE} is not set or is not UTF-8; it has to be the path of the configuration file")]
     NoConfigFile,
     /// The configuration cannot be read or is invalid.
     #[error(transparent)]
@@ -37,7 +37,7 @@
     #[error("cannot register the inherited listener with the async runtime")]
     RegisterListener(#[source] io::Error),
     /// The node cannot listen on an address.
-    #[error("cannot listen on {address} ({field})")]
+    #[error("cannot listen on {address} (field {field:?} of the configuration)")]
     Listen {
         /// Field of the configuration for this address.
         field: &'static str,
@@ -47,7 +47,7 @@
         source: io::Error,
     },
     /// The local address of a listener cannot be determined.
-    #[error("cannot determine the local address of a listener ({field})")]
+    #[error("cannot determine the local address of the listener (field {field:?} of the configuration)")]
     LocalAddress {
         /// Field of the configuration for the listener's address.
         field: &'static str,
--- a/src/node/startup/mod.rs
+++ b/src/node/startup/mod.rs
@@ -37,9 +37,9 @@
 /// The signals that the node handles.
 pub struct Signals {
     /// SIGHUP, which reloads the configuration.
-    pub hang_up: Signal,
+    pub sighup: Signal,
     /// SIGTERM, which starts the graceful shutdown.
-    pub terminate: Signal,
+    pub sigterm: Signal,
 }
 
 impl Signals {
@@ -47,8 +47,8 @@
     pub fn install() -> Result<Signals, StartError> {
         let install = |name, kind| signal(kind).map_err(|source| StartError::Signal { name, source });
         Ok(Signals {
-            hang_up: install("SIGHUP", SignalKind::hangup())?,
-            terminate: install("SIGTERM", SignalKind::terminate())?,
+            sighup: install("SIGHUP", SignalKind::hangup())?,
+            sigterm: install("SIGTERM", SignalKind::terminate())?,
         })
     }
 }
@@ -57,14 +57,19 @@
 /// not begun. The tasks of the node run on the current [`tokio::task::LocalSet`].
 pub async fn start(
     inherited: Option<std::net::TcpListener>,
-    hang_up: Signal,
+    sighup: Signal,
 ) -> Result<GracefulShutdown<DownstreamServer>, StartError> {
     let path = std::env::var(CONFIG_VARIABLE).map_err(|_| StartError::NoConfigFile)?;
     let config = Rc::new(Config::read(&path)?);
     let shares_listener = inherited.is_some();
     let listeners = Listeners::open(&config, inherited).await?;
-    log!("{} listens for clients on {}", config.name, local_address("listen", &listeners.downstream)?);
-    let node = Node::build(config, shares_listener, path, hang_up)?;
+    log!(
+        "{} listens for clients (inherited socket: {}; if true, it accepts only once it is ready) on {}",
+        config.name,
+        shares_listener,
+        local_address("listen", &listeners.downstream)?
+    );
+    let node = Node::build(config, shares_listener, path, sighup)?;
     if let Some(listener) = listeners.admin {
         node.start_admin(listener)?;
     }
@@ -90,7 +95,7 @@
         config: Rc<Config>,
         shares_listener: bool,
         path: String,
-        hang_up: Signal,
+        sighup: Signal,
     ) -> Result<Node, StartError> {
         let budget = BufferBudget::new(config.limits.memory);
         let upstream = Rc::new(UpstreamPool::new(&config, budget.clone()));
@@ -103,7 +108,7 @@
         let pool = upstream.clone();
         spawn_local(async move { pool.run_idle_sweep().await });
         let (address_sender, address_receiver) = watch::channel(config.discovery);
-        spawn_local(reload::reload_on_sighup(path, hang_up, address_sender));
+        spawn_local(reload::reload_on_sighup(path, sighup, address_sender));
         spawn_local(discovery::follow(config.clone(), address_receiver, engine_handle.clone(), subscribe));
         let downstream = Rc::new(DownstreamServer::new(
             config.clone(),
--- a/src/node/state_store/error.rs
+++ b/src/node/state_store/error.rs
@@ -43,7 +43,7 @@
     #[error("cannot encode the state as JSON")]
     Encode(#[source] serde_json::Error),
     /// The new file cannot be written, or cannot be renamed to the state file.
-    #[error("cannot write {}", path.display())]
+    #[error("cannot write {} or rename it to the state file", path.display())]
     Write {
         /// The new file.
         path: PathBuf,
--- a/src/node/state_store/mod.rs
+++ b/src/node/state_store/mod.rs
@@ -94,7 +94,12 @@
         match self.load() {
             Ok(state) => self.state.replace(state.clone()) != state,
             Err(error) => {
-                log!("ignoring {} until it is written again: {}", self.path.display(), ErrorChain(&error));
+                log!(
+                    "cannot use state file {}: {}; until it is written again, the previous standby and \
+                     maintenance state applies (none if the process has just started)",
+                    self.path.display(),
+                    ErrorChain(&error)
+                );
                 false
             }
         }
--- a/src/node/upstream/endpoints.rs
+++ b/src/node/upstream/endpoints.rs
@@ -17,7 +17,7 @@
     pub address: SocketAddr,
 }
 
-/// An endpoint that is ready according to the endpoint list.
+/// An endpoint that is listed as ready. It may be in maintenance.
 struct Endpoint {
     incarnation: Incarnation,
     idle: IdleConnections,
@@ -35,9 +35,11 @@
     }
 }
 
-/// All ready endpoints with their idle connections, and the endpoints that operators have put in maintenance.
+/// All endpoints that are listed as ready, with their idle connections, and the endpoints that operators have
+/// put in maintenance.
 #[derive(Default)]
 pub struct EndpointDirectory {
+    /// The endpoints that are listed as ready, including those in maintenance.
     ready: HashMap<EndpointId, Endpoint>,
     /// All endpoints that a list has ever named. Operators may end the maintenance of an endpoint that is
     /// gone.
@@ -53,8 +55,8 @@
         self.known.contains(&id)
     }
 
-    /// Returns whether any endpoint is ready.
-    pub fn has_ready(&self) -> bool {
+    /// Returns whether any endpoint is listed as ready. It may be in maintenance.
+    pub fn has_listed_ready(&self) -> bool {
         !self.ready.is_empty()
     }
 
@@ -69,8 +71,9 @@
         self.apply(list, HashSet::new());
     }
 
-    /// Applies the entries of a list, and then removes the endpoints that are not ready, because no requests
-    /// are sent to them. `unready` contains the endpoints that are not ready unless the list says otherwise.
+    /// Applies the entries of a list, and then removes the endpoints that are not listed as ready, because no
+    /// requests are sent to them. `unready` contains the endpoints that are not ready unless the list says
+    /// otherwise.
     fn apply(&mut self, list: impl Iterator<Item = ListedEndpoint>, mut unready: HashSet<EndpointId>) {
         for endpoint in list {
             let info = endpoint.info;
@@ -105,7 +108,7 @@
         }
     }
 
-    /// Allows requests to an endpoint again if it is ready, on new connections only.
+    /// Allows requests to an endpoint again if it is listed as ready, on new connections only.
     pub fn exit_maintenance(&mut self, id: EndpointId) {
         self.in_maintenance.remove(&id);
         self.maintenance_epoch += 1;
@@ -115,18 +118,19 @@
         }
     }
 
-    /// Returns the incarnation to send requests to, if the endpoint is ready and not in maintenance.
+    /// Returns the incarnation to send requests to, if the endpoint is listed as ready and is not in
+    /// maintenance.
     pub fn available(&self, id: EndpointId) -> Option<Incarnation> {
         let endpoint = self.ready.get(&id)?;
         (!self.in_maintenance.contains(&id)).then_some(endpoint.incarnation)
     }
 
-    /// Returns the idle connections to an endpoint, if it is ready.
+    /// Returns the idle connections to an endpoint, if it is listed as ready.
     pub fn idle_mut(&mut self, id: EndpointId) -> Option<&mut IdleConnections> {
         self.ready.get_mut(&id).map(|endpoint| &mut endpoint.idle)
     }
 
-    /// Returns the idle connections to each ready endpoint.
+    /// Returns the idle connections to each endpoint that is listed as ready.
     pub fn all_idle_mut(&mut self) -> impl Iterator<Item = &mut IdleConnections> {
         self.ready.values_mut().map(|endpoint| &mut endpoint.idle)
     }
--- a/src/node/upstream/pool.rs
+++ b/src/node/upstream/pool.rs
@@ -22,14 +22,14 @@
 const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 /// Interval at which expired idle connections are closed.
 const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// One of this many descriptors is for an upstream connection, the others are for downstream connections.
-/// Downstream needs more, because its connections are in use while requests are queued, and upstream ones
-/// only during an attempt.
-const DESCRIPTORS_PER_UPSTREAM_CONNECTION: usize = 3;
+/// Divisor of the number of descriptors for connections. The quotient is the maximum number of upstream
+/// connections, the other descriptors are for downstream connections. Downstream needs more, because its
+/// connections are in use while requests are queued, and upstream ones only during an attempt.
+const UPSTREAM_DESCRIPTOR_DIVISOR: usize = 3;
 
 /// Returns how many of the descriptors for connections may be used for upstream connections.
 pub fn max_upstream_connections(descriptors: usize) -> usize {
-    descriptors / DESCRIPTORS_PER_UPSTREAM_CONNECTION
+    descriptors / UPSTREAM_DESCRIPTOR_DIVISOR
 }
 
 /// All endpoints that discovery has listed, and the connections to them.
@@ -62,13 +62,13 @@
         self.endpoints.borrow().is_known(endpoint)
     }
 
-    /// Returns whether any endpoint is ready according to the endpoint list.
-    pub fn has_ready_endpoint(&self) -> bool {
-        self.endpoints.borrow().has_ready()
+    /// Returns whether any endpoint is listed as ready. It may be in maintenance.
+    pub fn has_listed_ready_endpoint(&self) -> bool {
+        self.endpoints.borrow().has_listed_ready()
     }
 
     /// Applies a snapshot of all endpoints. Closes idle connections to endpoints that have changed their
-    /// address, have restarted or are not ready.
+    /// address, have restarted or are not listed as ready.
     pub fn apply_snapshot(&self, list: impl Iterator<Item = ListedEndpoint>) {
         self.endpoints.borrow_mut().apply_snapshot(list);
     }
@@ -84,8 +84,8 @@
         self.endpoints.borrow_mut().enter_maintenance(endpoint);
     }
 
-    /// Ends the maintenance of an endpoint: it gets requests again while it is ready, but only on new
-    /// connections.
+    /// Ends the maintenance of an endpoint: it gets requests again while it is listed as ready, but only on
+    /// new connections.
     pub fn exit_maintenance(&self, endpoint: EndpointId) {
         self.endpoints.borrow_mut().exit_maintenance(endpoint);
     }
@@ -129,7 +129,7 @@
 /// Operations that attempts use.
 impl UpstreamPool {
     /// Returns the incarnation of an endpoint that requests may be sent to, or `None` if the endpoint is not
-    /// ready or is in maintenance.
+    /// listed as ready or is in maintenance.
     pub(super) fn available_incarnation(&self, endpoint: EndpointId) -> Option<Incarnation> {
         self.endpoints.borrow().available(endpoint)
     }
--- a/src/simulator/decode.rs
+++ b/src/simulator/decode.rs
@@ -97,7 +97,7 @@
             discovery::DELTA => Ok(Event::EndpointDelta(list)),
             discovery::FULL => Ok(Event::EndpointSnapshot(list)),
             discovery::CACHED => Ok(Event::CachedSnapshot(list)),
-            other => Err(WireError::UnknownCode { field: "kind of endpoint list", code: other.into() }),
+            other => Err(WireError::UnknownCode { field: "Discovery.how", code: other.into() }),
         }
     }
 }
@@ -188,7 +188,7 @@
         stage_state::GONE => Ok(EndpointState::Gone),
         stage_state::DRAINING => Ok(EndpointState::Draining),
         stage_state::READY => Ok(EndpointState::Ready),
-        other => Err(WireError::UnknownCode { field: "endpoint state", code: other.into() }),
+        other => Err(WireError::UnknownCode { field: "stage_state", code: other.into() }),
     }
 }
 
@@ -211,7 +211,7 @@
         status::CONNECT_FAILED => Ok(Outcome::ConnectFailed),
         status::MOOT => Ok(Outcome::NotSent),
         status::CANCELLED => Ok(Outcome::Cancelled),
-        other => Err(WireError::UnknownCode { field: "outcome", code: other.into() }),
+        other => Err(WireError::UnknownCode { field: "Completed.status", code: other.into() }),
     }
 }
 
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -37,7 +37,7 @@
     /// The code in a field is unknown.
     #[error("malformed input: unknown {field} {code}")]
     UnknownCode {
-        /// Description of the field.
+        /// Name of the field in the specification of the wire, or `record code`.
         field: &'static str,
         /// The code.
         code: u16,
--- a/tests/node/startup.rs
+++ b/tests/node/startup.rs
@@ -21,7 +21,10 @@
         let line = expect_startup_error(spawn_with_config(&config(field, address.clone().into())));
         assert_eq!(
             line,
-            format!("cannot listen on {address} ({field}): Address already in use (os error 98)")
+            format!(
+                "cannot listen on {address} (field \"{field}\" of the configuration): \
+                 Address already in use (os error 98)"
+            )
         );
     }
     let path = write_config(&config("seed", 3.into()));
@@ -31,5 +34,5 @@
     let cause = "No such file or directory (os error 2)";
     assert!(line.starts_with("/nowhere/config.json: ") && line.ends_with(cause), "{line}");
     let line = expect_startup_error(node_command().env_remove("GW_CONFIG").spawn().unwrap());
-    assert_eq!(line, "GW_CONFIG does not name a configuration file");
+    assert_eq!(line, "GW_CONFIG is not set or is not UTF-8; it has to be the path of the configuration file");
 }
--- a/tests/simulator/decoding.rs
+++ b/tests/simulator/decoding.rs
@@ -148,7 +148,7 @@
     let cases = [
         ("0600 010203", truncated),
         ("6300", WireError::UnknownCode { field: "record code", code: 99 }),
-        ("0200 07 0000000000000000 00", WireError::UnknownCode { field: "kind of endpoint list", code: 7 }),
+        ("0200 07 0000000000000000 00", WireError::UnknownCode { field: "Discovery.how", code: 7 }),
         ("0200 00 0000000000000000 10", WireError::ListNumberOutOfRange { number: 16, bound: 16 }),
         ("0b00 10 00000000", WireError::ListNumberOutOfRange { number: 16, bound: 16 }),
     ];
@@ -156,7 +156,7 @@
         assert_eq!(decode_error(text), expected, "{text}");
     }
     let outcome = decode_error("0500 0100000000000000 0000 00 63 44480000 0a124a07 8b13 00");
-    assert_eq!(outcome.to_string(), "malformed input: unknown outcome 99");
+    assert_eq!(outcome.to_string(), "malformed input: unknown Completed.status 99");
     let state = decode_error("0b00 00 01000000 03 0000000000000000 00 0a124a07 8b13 0000 0000803f 00");
-    assert_eq!(state.to_string(), "malformed input: unknown endpoint state 3");
+    assert_eq!(state.to_string(), "malformed input: unknown stage_state 3");
 }
--- a/tests/unit/endpoint_directory.rs
+++ b/tests/unit/endpoint_directory.rs
@@ -32,16 +32,16 @@
     directory.apply_snapshot([ready_endpoint(3, 83, 10)].into_iter());
     assert!([1, 2].iter().all(|id| directory.available(*id).is_none()));
     assert!([1, 2, 3].iter().all(|id| directory.is_known(*id)));
-    assert!(directory.has_ready() && !directory.is_known(4));
+    assert!(directory.has_listed_ready() && !directory.is_known(4));
 }
 
 #[test]
 fn a_draining_or_gone_endpoint_is_not_available() {
     let mut directory = directory_with_two_endpoints();
     directory.apply_delta([listed_endpoint(1, EndpointState::Draining, 81, 10)].into_iter());
-    assert!(directory.available(1).is_none() && directory.has_ready());
+    assert!(directory.available(1).is_none() && directory.has_listed_ready());
     directory.apply_delta([listed_endpoint(2, EndpointState::Gone, 82, 10)].into_iter());
-    assert!(directory.available(2).is_none() && !directory.has_ready());
+    assert!(directory.available(2).is_none() && !directory.has_listed_ready());
 }
 
 #[test]
@@ -76,7 +76,7 @@
     let (before, other) = (directory.available(1), directory.available(2));
     directory.enter_maintenance(1);
     directory.apply_snapshot([ready_endpoint(1, 81, 10), ready_endpoint(2, 82, 10)].into_iter());
-    assert!(directory.available(1).is_none() && directory.has_ready());
+    assert!(directory.available(1).is_none() && directory.has_listed_ready());
     directory.exit_maintenance(1);
     let after = directory.available(1);
     assert!(after.is_some() && after != before);
--- a/tests/unit/hot_restart.rs
+++ b/tests/unit/hot_restart.rs
@@ -12,8 +12,8 @@
 }
 
 impl ClientConnections for FakeConnections {
-    fn share_descriptors(&self, shared: bool) {
-        self.shared.set(shared);
+    fn set_hot_restart_limits(&self, active: bool) {
+        self.shared.set(active);
     }
 
     fn exceeds_limit(&self) -> bool {
