--- a/tests/node/admin.rs
+++ b/tests/node/admin.rs
@@ -46,7 +46,7 @@
     let mut truncated = node.admin_client();
     truncated.send(b"POST /maintenance/enter HTTP/1.1\r\nHost: n\r\nContent-Length: 12\r\n\r\n{\"host\"");
     truncated.stream.shutdown(std::net::Shutdown::Write).unwrap();
-    assert!(truncated.reaches_close(), "the connection closes after a truncated request");
+    assert!(truncated.closes_after_any_data(), "the connection closes after a truncated request");
     assert_eq!(node.admin_status()["maintenance"], json!([]));
     assert_eq!(node.admin_status()["phase"], "serving");
     assert_eq!((node.health(), node.client().exchange(&view_request()).status()), (200, 200));
@@ -54,11 +54,11 @@
     let mut caller = node.admin_client();
     let response = caller.exchange(&admin_request("GET", "/status", ""));
     assert_eq!(response.header("connection"), Some("close"));
-    assert!(caller.is_closed());
+    assert!(caller.closes_without_data());
 }
 
 #[test]
-fn stalled_callers_and_busy_clients_do_not_delay_commands() {
+fn stalled_callers_and_busy_clients_do_not_delay_status_requests() {
     let upstream = ScriptedEndpoint::new(|_, _| Reply::Never);
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 64, &state_dir());
     let mut clients: Vec<Connection> = (0..200).map(|_| node.client()).collect();
@@ -70,11 +70,15 @@
     for _ in 0..5 {
         let started = Instant::now();
         assert_eq!(node.admin_request("GET", "/status", "").status(), 200);
-        // The admin API has to respond within 1 s, and does within about 2 ms on an idle machine.
+        // The admin API has to respond within 1 s, and does within about 2 ms on an idle machine. The bound
+        // of 2 s allows for a busy machine.
         assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
     }
     assert!(node.open_descriptors() <= 64, "{} descriptors", node.open_descriptors());
-    assert!(stalled.iter_mut().all(Connection::reaches_close), "connections of stalled callers are closed");
+    assert!(
+        stalled.iter_mut().all(Connection::closes_after_any_data),
+        "connections of stalled callers are closed"
+    );
     assert_eq!(node.admin_status()["phase"], "serving");
 }
 
--- a/tests/node/client_disconnects.rs
+++ b/tests/node/client_disconnects.rs
@@ -47,8 +47,8 @@
 /// could not notice the disconnect.
 const UNREAD_BODY_BYTES: usize = 48 << 10;
 
-/// Returns a head and a part of its body, which is too large to buffer. The node does not read the rest of
-/// the body until an endpoint gets it.
+/// Returns a head and the first bytes of a body that is too large to buffer. Until an endpoint gets the
+/// request, the node reads only as much of the body as hyper reads together with the head.
 fn partial_upload(id: &str) -> Vec<u8> {
     let head = format!(
         "POST /submit/7f3a HTTP/1.1\r\nHost: n\r\nReq-Id: {id}\r\nReq-Deadline: 14.0\r\n\
@@ -77,30 +77,30 @@
     let listener = bind_listener();
     let node = Node::start(&[listening_endpoint("a", &listener, "ready")]);
     Watch::accept(&node.discovery).keep_alive();
-    let mut pending = start_pending_requests(&node, slice::from_ref(&listener), INITIAL_CONCURRENCY_LIMIT);
+    let mut open_requests = start_open_requests(&node, slice::from_ref(&listener), INITIAL_CONCURRENCY_LIMIT);
     let before = node.open_descriptors();
     for kind in ALL_DISCONNECTS {
         for (trailing, bytes) in trailing_bytes() {
             let mut client = node.client();
             client.send(&view_request());
             client.send(&bytes);
-            wait_for_descriptors(&node, before + 1);
+            wait_until_descriptors_open(&node, before + 1);
             disconnect(client, kind);
             wait_until_descriptors_closed(&node, before, &format!("{trailing}, {kind:?}"));
         }
         let mut client = node.client();
         client.send(&partial_upload("9b1f03bb00000001"));
-        wait_for_descriptors(&node, before + 1);
+        wait_until_descriptors_open(&node, before + 1);
         disconnect(client, kind);
-        wait_until_descriptors_closed(&node, before, &format!("half a body, {kind:?}"));
+        wait_until_descriptors_closed(&node, before, &format!("part of a body, {kind:?}"));
     }
     // Once there is capacity again, the next request that is sent is that of the new client. It is sent on
-    // one of these connections.
-    pending.iter_mut().for_each(|exchange| exchange.complete("", "done"));
-    pause_before_reuse();
+    // the connection that became idle last, which is the second one.
+    open_requests.iter_mut().for_each(|request| request.complete("", "done"));
+    pause_200_ms();
     let mut last_client = node.client();
     last_client.send(&request_with_id("9b1f03bb000000ff", "GET", "/view/1", "14.0", "", ""));
-    let connection = &mut pending[1].upstream;
+    let connection = &mut open_requests[1].upstream;
     assert_eq!(connection.receive().header("req-id"), Some("9b1f03bb000000ff"));
     connection.send(&response(200, "", "last"));
     assert_eq!(last_client.receive().body, b"last");
@@ -117,19 +117,19 @@
         let listener = bind_listener();
         let node = Node::start(&[listening_endpoint("a", &listener, "ready")]);
         Watch::accept(&node.discovery).keep_alive();
-        let mut pending =
-            start_pending_requests(&node, slice::from_ref(&listener), INITIAL_CONCURRENCY_LIMIT);
+        let mut open_requests =
+            start_open_requests(&node, slice::from_ref(&listener), INITIAL_CONCURRENCY_LIMIT);
         let before = node.open_descriptors();
         let mut client = node.client();
         client.send(&complete_upload(chunked));
-        wait_for_descriptors(&node, before + 1);
+        wait_until_descriptors_open(&node, before + 1);
         disconnect(client, Disconnect::Close);
-        pause_before_reuse();
+        pause_200_ms();
         let mut last_client = node.client();
         let id = format!("9b1f03bb000000f{}", u8::from(chunked));
         // The request has the same class as the upload, so that it is queued after it.
         last_client.send(&request_with_id(&id, "POST", "/order/1", "14.0", "", "xyz"));
-        pending.iter_mut().for_each(|exchange| exchange.complete("Connection: close\r\n", "done"));
+        open_requests.iter_mut().for_each(|request| request.complete("Connection: close\r\n", "done"));
         // Connections that end before a request is complete are skipped.
         let (mut connection, request) = loop {
             let mut connection = Connection::from_stream(accept_connection(&listener));
@@ -140,7 +140,9 @@
         assert_eq!(request.header("req-id"), Some(&id[..]));
         connection.send(&response(200, "Connection: close\r\n", "last"));
         assert_eq!(last_client.receive().body, b"last");
-        drop((pending, last_client));
+        drop((open_requests, last_client));
+        // `before` counts four connections that are closed now: those of the two clients with open requests,
+        // and the upstream connections that carried these requests.
         wait_until_descriptors_closed(&node, before - 4, "the client of the body");
     }
 }
@@ -188,7 +190,7 @@
                 client.send(&order_request());
                 client.send(&bytes);
                 // The client's connection, and the upstream connection that is not established yet.
-                wait_for_descriptors(&node, before + 2);
+                wait_until_descriptors_open(&node, before + 2);
                 disconnect(client, kind);
                 wait_until_descriptors_closed(
                     &node,
@@ -229,7 +231,7 @@
                     config["settings"]["allowed"]["connect_timeout_us"] = 10_000_000.into();
                 });
                 Watch::accept(&node.discovery).keep_alive();
-                let mut pending = start_pending_requests(&node, &listeners, 2);
+                let mut open_requests = start_open_requests(&node, &listeners, 2);
                 let before = node.open_descriptors();
                 let mut client = node.client();
                 if exhausted {
@@ -238,16 +240,16 @@
                 }
                 client.send(&order_request());
                 client.send(&bytes);
-                wait_for_descriptors(&node, before + 1);
+                wait_until_descriptors_open(&node, before + 1);
                 // After this pause the node has read the request, which now waits.
-                pause_before_reuse();
+                pause_200_ms();
                 disconnect(client, kind);
                 wait_until_descriptors_closed(
                     &node,
                     before,
                     &format!("{trailing}, {kind:?}, exhausted {exhausted}"),
                 );
-                let mut first = pending.remove(0);
+                let mut first = open_requests.remove(0);
                 first.complete("Connection: close\r\n", "done");
                 drop(first);
                 let mut last_client = node.client();
@@ -286,7 +288,7 @@
             watch.send_delta(42, &[listening_endpoint("a", &first_listener, "draining")]);
             watch.keep_alive();
             first_upstream.send(&response(503, "Srv-Declined: 1\r\nConnection: close\r\n", ""));
-            assert!(first_upstream.reaches_close());
+            assert!(first_upstream.closes_after_any_data());
             drop(first_upstream);
             wait_until_descriptors_closed(&node, before - 1, "a connection that was closed");
             let index = clients.iter().position(|(id, _)| rejected.header("req-id") == Some(id)).unwrap();
@@ -297,7 +299,7 @@
             second_upstream.send(&response(200, "", "done"));
             let index = clients.iter().position(|(id, _)| answered.header("req-id") == Some(id)).unwrap();
             assert_eq!(clients[index].1.receive().body, b"done");
-            pause_before_reuse();
+            pause_200_ms();
             let mut last_client = node.client();
             last_client.send(&request_with_id("9b1f03cc000000ff", "GET", "/view/1", "14.0", "", ""));
             assert_eq!(second_upstream.receive().header("req-id"), Some("9b1f03cc000000ff"));
@@ -316,7 +318,7 @@
             let (mut connection, _) = accept_request(&listener);
             client.send(&bytes);
             disconnect(client, kind);
-            assert!(connection.reaches_close());
+            assert!(connection.closes_after_any_data());
         }
     }
 }
@@ -329,7 +331,9 @@
     for kind in ALL_DISCONNECTS {
         let mut clients: Vec<Connection> = (0..100).map(|_| node.client()).collect();
         clients.iter_mut().for_each(|client| client.send(&view_request()));
-        wait_for_descriptors(&node, 47);
+        // The clients use up nearly all of the 48 descriptors. After they have disconnected, at most half of the
+        // descriptors may be open, which is more than the node needs without clients.
+        wait_until_descriptors_open(&node, 47);
         clients.into_iter().for_each(|client| disconnect(client, kind));
         wait_until_descriptors_closed(&node, 24, &format!("{kind:?}"));
         assert_eq!(node.health(), 200);
--- a/tests/node/configuration_errors.rs
+++ b/tests/node/configuration_errors.rs
@@ -99,6 +99,7 @@
     config["settings"]["rank"] = json!(3);
     let line = startup_error(&config.to_string(), None);
     assert_eq!(line, "settings: rank is 3, but must be below balancers, which is 3");
+    // `goal_time_us` is not set, so it defaults to `deadline_us`, and it is checked first.
     let line = startup_error_with("/settings/services/0/deadline_us", json!(0));
     assert!(line.starts_with("settings: services.0.goal_time_us is 0ns"), "{line}");
 }
--- a/tests/node/connection_limits.rs
+++ b/tests/node/connection_limits.rs
@@ -18,7 +18,7 @@
 fn a_new_connection_is_not_closed_before_its_first_request() {
     let upstream = ScriptedEndpoint::new(|_, _| Reply::Never);
     let node = Node::with_sockets(&[ready_endpoint("a", &upstream)], 64);
-    // There is no idle connection to close: the clients with pending requests use up the limit, and the new
+    // There is no idle connection to close: the clients with open requests use up the limit, and the new
     // clients exceed it.
     let mut busy_clients: Vec<Connection> = (0..30).map(|_| node.client()).collect();
     busy_clients.iter_mut().for_each(|client| client.send(&request("GET", "/view/1", "3", "", "")));
@@ -39,7 +39,7 @@
     // that another client needs.
     let mut next_client = node.client();
     assert_eq!(next_client.exchange(HEALTH_REQUEST).header("connection"), Some("close"));
-    assert!(next_client.is_closed());
+    assert!(next_client.closes_without_data());
 }
 
 #[test]
@@ -50,8 +50,8 @@
     assert_eq!(slow_client.exchange(&view_request()).body, b"done");
     let text = request("GET", "/view/slow", "9", "", "");
     slow_client.send(&text[..30]);
-    pause_before_reuse();
-    pause_before_reuse();
+    pause_200_ms();
+    pause_200_ms();
     let _new_clients: Vec<Connection> = (0..50).map(|_| node.client()).collect();
     // This client is accepted after the others, so the node has already closed idle connections for them.
     let health = HEALTH_REQUEST;
--- a/tests/node/connection_setup.rs
+++ b/tests/node/connection_setup.rs
@@ -10,15 +10,16 @@
 use crate::support::*;
 
 /// Accepts all connections to the listener, and asserts that no request arrives on any of them. The first
-/// `backlog` connections are not from the node. The node responds to another request in between, so that it
-/// has had time to send one.
+/// `backlog` connections are not from the node. After these are accepted, the node responds to another
+/// request, so it has had time to write a request to its own connections.
 fn assert_no_request_arrives(listener: &TcpListener, backlog: usize, node: &Node) {
     for _ in 0..backlog {
         drop(accept_connection(listener));
     }
     assert_eq!(node.client().exchange(&view_request()).body, b"other");
     listener.set_nonblocking(true).unwrap();
-    // The node closes a connection that was established later without writing to it.
+    // Connections of the node are established only once the backlog is accepted. The node closes them without
+    // writing to them.
     while let Ok((stream, _)) = listener.accept() {
         stream.set_nonblocking(false).unwrap();
         assert!(
@@ -96,7 +97,7 @@
     let [(mut idle, _), (mut used, _)] = [accept_request(&first_listener), accept_request(&first_listener)];
     for connection in [&mut idle, &mut used] {
         connection.send(&response(200, "", "done"));
-        pause_before_reuse();
+        pause_200_ms();
     }
     clients.iter_mut().for_each(|client| assert_eq!(client.receive().status(), 200));
     let mut client = node.client();
@@ -110,7 +111,7 @@
             listening_endpoint("b", &retry_listener, "ready"),
         ],
     );
-    assert!(idle.reaches_close());
+    assert!(idle.closes_after_any_data());
     let before = node.open_descriptors();
     drop(used);
     // The connection that the retry waits for replaces the one that was closed.
@@ -128,7 +129,7 @@
     }
 }
 
-/// All connections carry pending requests, so the node cannot close an idle connection to get a descriptor.
+/// All connections carry open requests, so the node cannot close an idle connection to get a descriptor.
 #[test]
 fn a_request_without_a_descriptor_for_its_connection_waits_for_one() {
     let listeners: Vec<TcpListener> = (0..4).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
@@ -141,16 +142,16 @@
     for (sockets, exhausted) in [(1024, true), (36, false)] {
         let node = Node::with_sockets(&endpoints, sockets);
         Watch::accept(&node.discovery).keep_alive();
-        let mut pending = start_pending_requests(&node, &listeners, 2);
+        let mut open_requests = start_open_requests(&node, &listeners, 2);
         let mut waiting = node.client();
         if exhausted {
             assert_eq!(waiting.exchange(HEALTH_REQUEST).status(), 200);
             node.exhaust_descriptors();
         }
         waiting.send(&order_request());
-        pause_before_reuse();
+        pause_200_ms();
         assert!(!waiting.has_unread_data(), "{}", waiting.receive().start_line);
-        let mut first = pending.remove(0);
+        let mut first = open_requests.remove(0);
         first.complete("Connection: close\r\n", "first");
         drop(first);
         accept_request_from_any(&listeners).0.send(&response(200, "", "second"));
--- a/tests/node/deadlines.rs
+++ b/tests/node/deadlines.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_deadline_bounds_the_wait_for_a_silent_endpoint() {
+fn the_deadline_bounds_the_wait_for_an_unresponsive_endpoint() {
     let upstream = ScriptedEndpoint::new(|_, _| Reply::Never);
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     // The client may retry an idempotent request (503); a non-idempotent one may have been executed (504).
--- a/tests/node/discovery.rs
+++ b/tests/node/discovery.rs
@@ -31,8 +31,8 @@
     drop(watch);
 }
 
-/// Changes that a silent watch misses count as known to the node after 6 s, even if the next watch is silent
-/// too.
+/// If discovery sends nothing on a watch, the node has to receive the missed changes within 6 s, even if the
+/// next watch is silent too. The third watch has to be open within this time.
 #[test]
 fn a_third_watch_follows_two_silent_ones_within_six_seconds() {
     let (known, other) =
@@ -40,17 +40,17 @@
     let node = Node::start(&[ready_endpoint("a", &known)]);
     let mut first = Watch::accept(&node.discovery);
     first.send_line("");
-    let silent = Instant::now();
+    let silent_since = Instant::now();
     let _second = Watch::accept(&node.discovery);
     let mut third = Watch::accept(&node.discovery);
     third.send_line(&list_message(60, true, &[ready_endpoint("b", &other)]).to_string());
     wait_until("the list applies", || serves_every_class(&node, "other"));
-    assert!(silent.elapsed() < Duration::from_secs(6), "{:?}", silent.elapsed());
+    assert!(silent_since.elapsed() < Duration::from_secs(6), "{:?}", silent_since.elapsed());
 }
 
-/// Discovery that is down does not respond. When it is back, its changes count as known to the node at once,
-/// and a draining endpoint may be sent new requests for 2 s more. It may come back right after a connection
-/// was opened.
+/// While discovery is down, it does not respond. Once it is back, the node has 2 s to stop sending new
+/// requests to an endpoint that discovery lists as draining. If discovery comes back right after the node has
+/// opened a connection, then the node has to open the next one within these 2 s.
 #[test]
 fn reconnects_stay_less_than_two_seconds_apart_while_discovery_is_down() {
     let upstream = ScriptedEndpoint::new(|_, _| ok("known"));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_node_serves_from_its_configured_list_while_discovery_closes_connections() {
+fn reconnect_delays_grow_and_vary_while_the_node_serves_from_its_configured_list() {
     let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::with_admin(&[ready_endpoint("a", &upstream)], 1024, &state_dir());
     assert_eq!((node.health(), node.admin_request("GET", "/status", "").status()), (200, 200));
@@ -90,6 +90,9 @@
     assert!(delays[4] > Duration::from_millis(550), "the delays do not grow: {delays:?}");
     let difference = delays[3].abs_diff(delays[4]);
     assert!(difference > Duration::from_millis(2), "the delays do not vary: {delays:?}");
-    let connections = (0..upstream.request_count()).map(|_| upstream.next_request().0).max();
-    assert!(connections < Some(3), "sequential requests used too many connections: {connections:?}");
+    let highest_connection = (0..upstream.request_count()).map(|_| upstream.next_request().0).max();
+    assert!(
+        highest_connection < Some(3),
+        "sequential requests used too many connections, numbered up to {highest_connection:?}"
+    );
 }
--- a/tests/node/forwarding.rs
+++ b/tests/node/forwarding.rs
@@ -3,12 +3,12 @@
 use crate::support::*;
 
 #[test]
-fn forwards_requests_unchanged_and_reuses_connections() {
+fn forwards_requests_with_the_remaining_time_and_reuses_connections() {
     let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let mut client = node.client();
     for id in ["9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42"] {
-        pause_before_reuse();
+        pause_200_ms();
         let response = client.exchange(&request_with_id(id, "GET", "/view/7f3a?x=1", "14.0", "", ""));
         assert_eq!((response.status(), &response.body[..]), (200, &b"done"[..]));
         let (connection, request) = upstream.next_request();
--- a/tests/node/hot_restart.rs
+++ b/tests/node/hot_restart.rs
@@ -16,54 +16,54 @@
         _ => ok("done"),
     });
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
-    let mut old = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
-    let (mut busy, mut kept, mut idle) = (old.client(), old.client(), old.client());
+    let mut older = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
+    let (mut busy, mut kept, mut idle) = (older.client(), older.client(), older.client());
     busy.send(&order_request());
     upstream.next_request();
     assert_eq!(
         (kept.exchange(&view_request()).status(), idle.exchange(&view_request()).status()),
         (200, 200)
     );
-    let new = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
-    wait_until("the successor can serve", || new.admin_request("GET", "/status", "").status() == 200);
-    old.terminate();
+    let newer = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
+    wait_until("the successor can serve", || newer.admin_request("GET", "/status", "").status() == 200);
+    older.terminate();
     // To the load balancer in front of the nodes, both processes are one node, which keeps serving.
-    wait_until("the old process is draining", || {
-        let response = old.admin_request("GET", "/status", "");
+    wait_until("the older process shuts down", || {
+        let response = older.admin_request("GET", "/status", "");
         String::from_utf8_lossy(&response.body).contains("leaving")
     });
     let response = kept.exchange(HEALTH_REQUEST);
     assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     for _ in 0..50 {
-        assert_eq!((new.health(), new.client().exchange(&view_request()).status()), (200, 200));
+        assert_eq!((newer.health(), newer.client().exchange(&view_request()).status()), (200, 200));
     }
     assert_eq!(busy.receive().body, b"done");
-    assert!(idle.is_closed());
-    assert!(old.wait_for_exit().success());
-    assert_eq!(new.client().exchange(&view_request()).status(), 200);
+    assert!(idle.closes_without_data());
+    assert!(older.wait_for_exit().success());
+    assert_eq!(newer.client().exchange(&view_request()).status(), 200);
 }
 
 #[test]
-fn the_old_process_leaves_the_backlog_to_its_successor() {
+fn the_older_process_leaves_the_backlog_to_its_successor() {
     let upstream = ScriptedEndpoint::new(|count, _| match count {
         0 => Reply::SendDelayed(Vec::new(), Duration::from_millis(1000), response(200, "", "done")),
         _ => ok("done"),
     });
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
-    let mut old = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
-    let mut busy = old.client();
+    let mut older = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
+    let mut busy = older.client();
     busy.send(&order_request());
     upstream.next_request();
-    old.terminate();
-    wait_until("the old process is draining", || old.admin_status()["phase"] == "leaving");
-    // The old process still has an active request but accepts no connections. Its exit does not reset those
+    older.terminate();
+    wait_until("the older process shuts down", || older.admin_status()["phase"] == "leaving");
+    // The older process still has an open request but accepts no connections. Its exit does not reset those
     // in the backlog.
-    let mut waiting = old.client();
+    let mut waiting = older.client();
     waiting.send(&view_request());
     assert_eq!(busy.receive().body, b"done");
-    assert!(old.wait_for_exit().success());
+    assert!(older.wait_for_exit().success());
     assert_eq!(upstream.request_count(), 1);
-    let _new = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
+    let _newer = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
     assert_eq!(waiting.receive().body, b"done");
 }
 
@@ -71,15 +71,15 @@
 fn a_process_without_endpoints_accepts_no_connections() {
     let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
-    let new = Node::with_inherited_listener(&[], &listener, &state_dir);
-    assert_eq!(new.admin_request("GET", "/status", "").status(), 503);
-    let mut waiting = new.client();
+    let node = Node::with_inherited_listener(&[], &listener, &state_dir);
+    assert_eq!(node.admin_request("GET", "/status", "").status(), 503);
+    let mut waiting = node.client();
     waiting.send(&view_request());
-    let mut watch = Watch::accept(&new.discovery);
-    assert_eq!(new.admin_request("GET", "/status", "").status(), 503);
+    let mut watch = Watch::accept(&node.discovery);
+    assert_eq!(node.admin_request("GET", "/status", "").status(), 503);
     watch.send_delta(42, &[ready_endpoint("a", &upstream)]);
     assert_eq!(waiting.receive().body, b"done");
-    assert_eq!(new.admin_request("GET", "/status", "").status(), 200);
+    assert_eq!(node.admin_request("GET", "/status", "").status(), 200);
 }
 
 #[test]
@@ -104,36 +104,36 @@
     let (one, two) = (ScriptedEndpoint::new(|_, _| ok("one")), ScriptedEndpoint::new(|_, _| ok("two")));
     let targets = [ready_endpoint("a", &one), ready_endpoint("b", &two)];
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
-    let mut old = Node::with_inherited_listener(&targets, &listener, &state_dir);
-    let mut on_old = old.client();
-    assert_eq!(on_old.exchange(&view_request()).status(), 200);
-    assert_eq!(old.set_maintenance("enter", "a"), 200);
-    assert_eq!(old.admin_request("POST", "/standby", "").status(), 200);
-    let new = Node::with_inherited_listener(&targets, &listener, &state_dir);
-    wait_until("the old process has released descriptors", || {
-        new.admin_request("GET", "/status", "").status() == 200
+    let mut older = Node::with_inherited_listener(&targets, &listener, &state_dir);
+    let mut on_older = older.client();
+    assert_eq!(on_older.exchange(&view_request()).status(), 200);
+    assert_eq!(older.set_maintenance("enter", "a"), 200);
+    assert_eq!(older.admin_request("POST", "/standby", "").status(), 200);
+    let newer = Node::with_inherited_listener(&targets, &listener, &state_dir);
+    wait_until("the older process has released descriptors", || {
+        newer.admin_request("GET", "/status", "").status() == 200
     });
-    assert_eq!(new.admin_status(), json!({"phase": "standby", "able": true, "maintenance": ["a"]}));
-    // When the new process responds to a command, the old one has applied it too.
-    assert_eq!(new.admin_request("POST", "/active", "").status(), 200);
-    assert_eq!((new.set_maintenance("exit", "a"), new.set_maintenance("enter", "b")), (200, 200));
-    assert_eq!(old.admin_status(), json!({"phase": "serving", "able": true, "maintenance": ["b"]}));
+    assert_eq!(newer.admin_status(), json!({"phase": "standby", "able": true, "maintenance": ["a"]}));
+    // When the newer process responds to a command, the older one has applied it too.
+    assert_eq!(newer.admin_request("POST", "/active", "").status(), 200);
+    assert_eq!((newer.set_maintenance("exit", "a"), newer.set_maintenance("enter", "b")), (200, 200));
+    assert_eq!(older.admin_status(), json!({"phase": "serving", "able": true, "maintenance": ["b"]}));
     let before = two.request_count();
     // Endpoint "a" is in slow start, so some of these requests are rejected.
-    let bodies: Vec<_> = (0..50).map(|_| new.client().exchange(&view_request()).body).collect();
+    let bodies: Vec<_> = (0..50).map(|_| newer.client().exchange(&view_request()).body).collect();
     assert!(bodies.iter().any(|body| body == b"one"));
     assert_eq!(two.request_count(), before);
-    old.terminate();
-    assert!(old.wait_for_exit().success());
-    assert_eq!(new.admin_status()["maintenance"], json!(["b"]));
+    older.terminate();
+    assert!(older.wait_for_exit().success());
+    assert_eq!(newer.admin_status()["maintenance"], json!(["b"]));
 }
 
 #[test]
 fn exits_with_an_error_on_an_invalid_inherited_socket() {
     let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
-    let old = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
-    let config = old.config_with_discovery(&old.discovery);
+    let node = Node::with_inherited_listener(&[ready_endpoint("a", &upstream)], &listener, &state_dir);
+    let config = node.config_with_discovery(&node.discovery);
     let connected = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let no_socket = fs::File::open("/dev/null").unwrap();
     let with_socket_number = |mut command: Command, number: &str| {
@@ -155,7 +155,7 @@
         let line = expect_startup_error(child);
         assert!(line.starts_with("GW_PASSED_SOCKET"), "{line}");
     }
-    assert_eq!((old.health(), old.client().exchange(&view_request()).status()), (200, 200));
+    assert_eq!((node.health(), node.client().exchange(&view_request()).status()), (200, 200));
 }
 
 #[test]
@@ -164,20 +164,23 @@
     let upstream = ScriptedEndpoint::new(|_, _| Reply::Never);
     let targets: Vec<Value> = (0..12).map(|n| ready_endpoint(&format!("s{n}"), &upstream)).collect();
     let (listener, state_dir) = (TcpListener::bind("127.0.0.1:0").unwrap(), state_dir());
-    let old = Node::with_inherited_listener_and_sockets(&targets, &listener, &state_dir, SOCKETS);
-    // Clients with active requests use a third of the descriptors, and 100 idle clients connect below.
-    let mut busy: Vec<Connection> = (0..SOCKETS / 3).map(|_| old.client()).collect();
+    let older = Node::with_inherited_listener_and_sockets(&targets, &listener, &state_dir, SOCKETS);
+    // Clients with open requests use a third of the descriptors, and 100 idle clients connect below.
+    let mut busy: Vec<Connection> = (0..SOCKETS / 3).map(|_| older.client()).collect();
     busy.iter_mut().for_each(|client| client.send(&request("POST", "/order/1", "14", "", "xyz")));
     wait_until("12 requests are at endpoints", || upstream.request_count() >= 12);
-    let new = Node::with_inherited_listener_and_sockets(&targets, &listener, &state_dir, SOCKETS);
-    // The old process accepts these connections until it knows of its successor.
-    let mut idle: Vec<Connection> = (0..100).map(|_| old.client()).collect();
+    let newer = Node::with_inherited_listener_and_sockets(&targets, &listener, &state_dir, SOCKETS);
+    // The older process accepts these connections until it knows of its successor.
+    let mut idle: Vec<Connection> = (0..100).map(|_| older.client()).collect();
     let mut polls = 0;
     wait_until("the successor is ready in 100 polls", || {
-        let (older, newer) = (old.open_descriptors(), new.open_descriptors());
-        assert!(older + newer <= SOCKETS, "{older} and {newer} descriptors of {SOCKETS}");
-        idle.iter_mut().filter(|client| client.has_unread_data()).for_each(|client| *client = old.client());
-        polls += usize::from(new.admin_status()["able"] == true);
+        let (older_count, newer_count) = (older.open_descriptors(), newer.open_descriptors());
+        assert!(
+            older_count + newer_count <= SOCKETS,
+            "{older_count} and {newer_count} descriptors of {SOCKETS}"
+        );
+        idle.iter_mut().filter(|client| client.has_unread_data()).for_each(|client| *client = older.client());
+        polls += usize::from(newer.admin_status()["able"] == true);
         polls >= 100
     });
 }
--- a/tests/node/idle_connections.rs
+++ b/tests/node/idle_connections.rs
@@ -40,7 +40,7 @@
     (0..4).for_each(|_| assert_ne!(node.client().exchange(&view_request()).status(), 200));
     pending_response.wait();
     assert_eq!(busy.receive().status(), 200);
-    // The node closes the connection long before the endpoint would have.
+    // The node closes the connection long before the keep-alive time of the settings, 60 s, is over.
     while upstream.next_closed_connection() != 0 {}
 }
 
@@ -60,7 +60,7 @@
     first.send(&order_request());
     second.send(&order_request());
     assert_eq!((first.receive().status(), second.receive().status()), (200, 200));
-    pause_before_reuse();
+    pause_200_ms();
     assert_eq!(first.exchange(&request("POST", "/order/1", "3", "", "xyz")).status(), 504);
     first.send(&order_request());
     let connections: Vec<usize> = (0..4).map(|_| upstream.next_request().0).collect();
@@ -81,7 +81,7 @@
     let mut failed = 0;
     for _ in 0..8 {
         failed += usize::from(client.exchange(&order_request()).status() != 200);
-        pause_before_reuse();
+        pause_200_ms();
     }
     assert_eq!(failed, 2, "one break may be chance; after two breaks connections are not reused");
 }
--- a/tests/node/large_bodies.rs
+++ b/tests/node/large_bodies.rs
@@ -142,7 +142,7 @@
         if n > 40 && aborted_endpoint.is_none() {
             connection.stream.peek(&mut [0]).unwrap();
             drop(client);
-            assert!(connection.reaches_close());
+            assert!(connection.closes_after_any_data());
             aborted_endpoint = Some(endpoint);
         } else {
             client.send(&body[100_000..]);
--- a/tests/node/maintenance.rs
+++ b/tests/node/maintenance.rs
@@ -28,7 +28,7 @@
     assert_eq!((node.set_maintenance("enter", "a"), node.set_maintenance("enter", "a")), (200, 200));
     assert_eq!(node.admin_status()["maintenance"], json!(["a"]));
     assert_eq!(node.client().exchange(&view_request()).status(), 503, "no other endpoint is ready");
-    assert_eq!(waiting.receive().body, b"late", "an endpoint in maintenance completes its active requests");
+    assert_eq!(waiting.receive().body, b"late", "an endpoint in maintenance completes its open requests");
     let mut restarted = ready_endpoint("a", &one);
     restarted["boot_ms"] = 1.into();
     let mut rev = 50;
@@ -61,7 +61,8 @@
 fn an_idle_node_uses_an_endpoint_again_after_maintenance() {
     let upstreams: Vec<ScriptedEndpoint> = (0..4).map(|_| ScriptedEndpoint::new(|_, _| ok("done"))).collect();
     let names = ["a", "b", "c", "d"];
-    let list: Vec<Value> = names.iter().zip(&upstreams).map(|(uid, s)| ready_endpoint(uid, s)).collect();
+    let list: Vec<Value> =
+        names.iter().zip(&upstreams).map(|(uid, endpoint)| ready_endpoint(uid, endpoint)).collect();
     let node = Node::with_admin(&list, 1024, &state_dir());
     wait_until("all endpoints are in use", || {
         node.client().exchange(&view_request());
@@ -85,7 +86,7 @@
     busy.send(&order_request());
     assert_eq!(upstream.next_request().0, 0);
     assert_eq!((node.set_maintenance("enter", "a"), node.set_maintenance("exit", "a")), (200, 200));
-    assert_eq!(busy.receive().body, b"done", "the active request completes after maintenance");
+    assert_eq!(busy.receive().body, b"done", "the open request completes after maintenance");
     assert_eq!(upstream.next_closed_connection(), 0);
     wait_until("the endpoint is used again", || node.client().exchange(&view_request()).status() == 200);
     assert_eq!(upstream.next_request().0, 1);
--- a/tests/node/memory_limits.rs
+++ b/tests/node/memory_limits.rs
@@ -74,7 +74,7 @@
     let mut memory = 0;
     while memory < node.peak_memory() {
         memory = node.peak_memory();
-        pause_before_reuse();
+        pause_200_ms();
     }
     memory
 }
@@ -112,6 +112,6 @@
     };
     let connections_before = send_views();
     // The node does not reuse a connection immediately after a response.
-    pause_before_reuse();
+    pause_200_ms();
     assert!(!send_views().is_disjoint(&connections_before), "each request had a new connection");
 }
--- a/tests/node/rejection.rs
+++ b/tests/node/rejection.rs
@@ -1,9 +1,9 @@
-//! Early rejection of queued requests.
+//! Rejection of queued requests.
 
 use crate::support::*;
 
 #[test]
-fn queued_requests_are_rejected_early_with_retry_after() {
+fn queued_requests_are_rejected_with_retry_after() {
     let upstream = ScriptedEndpoint::new(|_, _| Reply::Never);
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     // The concurrency limit of the endpoint is lower than 8. Further requests are queued and never sent.
--- a/tests/node/request_validation.rs
+++ b/tests/node/request_validation.rs
@@ -73,7 +73,7 @@
         let mut client = node.client();
         let response = client.exchange(text.as_bytes());
         assert!((400..500).contains(&response.status()), "{number}: {}", response.start_line);
-        assert!(client.is_closed(), "{number}: the bytes that follow are not read");
+        assert!(client.closes_without_data(), "{number}: the bytes that follow are not read");
     }
     assert_eq!(upstream.request_count(), 0);
     // The same request is also rejected after a valid one. A chunked body without a Content-Length is valid.
@@ -100,7 +100,7 @@
         client.stream.write_all(head.as_bytes()).unwrap();
         client.stream.write_all(&vec![b'x'; length]).unwrap();
         assert_eq!(client.receive().status(), 413);
-        assert!(client.is_closed());
+        assert!(client.closes_without_data());
     }
     assert_eq!(upstream.request_count(), 0);
 }
--- a/tests/node/shutdown.rs
+++ b/tests/node/shutdown.rs
@@ -40,7 +40,7 @@
     let mut partial: Vec<Connection> = (0..30).map(|_| node.client()).collect();
     partial.iter_mut().for_each(|client| client.send(&order[..20]));
     // After this pause, the node has read from all accepted connections.
-    pause_before_reuse();
+    pause_200_ms();
     let signalled_at = Instant::now();
     node.terminate();
     thread::sleep((signalled_at + Duration::from_millis(1000)).saturating_duration_since(Instant::now()));
@@ -60,7 +60,7 @@
     let order = order_request();
     let mut partial: Vec<Connection> = (0..MAX_CLIENT_CONNECTIONS).map(|_| node.client()).collect();
     partial.iter_mut().for_each(|client| client.send(&order[..20]));
-    pause_before_reuse();
+    pause_200_ms();
     let signalled_at = Instant::now();
     node.terminate();
     let mut queued: Vec<Connection> = (0..5).map(|_| node.client()).collect();
@@ -89,7 +89,7 @@
     let (mut head, mut body) = (node.client(), node.client());
     head.send(&view[..25]);
     body.send(&submit[..submit.len() - 2]);
-    pause_before_reuse();
+    pause_200_ms();
     node.terminate();
     // The health check fails once the node has received the signal.
     while node.health() == 200 {}
@@ -98,7 +98,7 @@
     for client in [&mut head, &mut body] {
         let response = client.receive();
         assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
-        assert!(client.is_closed());
+        assert!(client.closes_without_data());
     }
     assert!(node.wait_for_exit().success());
 }
@@ -132,14 +132,14 @@
         let mut connection = Connection::from_stream(accept_connection(&a));
         connection.receive();
         connection.send(&response(200, "Connection: close\r\n", "done"));
-        assert!(connection.reaches_close());
+        assert!(connection.closes_after_any_data());
     }
     streaming.send(&vec![b'h'; 30_000]);
     assert_eq!(first.receive().body.len(), 100_000);
     for client in [&mut second, &mut queued] {
         let response = client.receive();
         assert_eq!((response.status(), &response.body[..]), (200, &b"done"[..]));
-        assert!(client.is_closed());
+        assert!(client.closes_without_data());
     }
     assert!(node.wait_for_exit().success());
 }
@@ -151,6 +151,7 @@
     let mut clients: Vec<Connection> = (0..60).map(|_| node.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&order_request()));
     let started = Instant::now();
+    // The clients use up nearly all of the 48 descriptors.
     while node.open_descriptors() < 47 {
         assert!(started.elapsed() < EVENT_TIMEOUT, "descriptors are free");
     }
@@ -180,7 +181,7 @@
             break;
         }
     }
-    assert!(kept.is_closed());
+    assert!(kept.closes_without_data());
     // The node exits before the deadline of this request, which fails rather than getting no response.
     assert_eq!(waiting.receive().status(), 504);
     assert!(node.wait_for_exit().success());
--- a/tests/node/slow_peers.rs
+++ b/tests/node/slow_peers.rs
@@ -7,20 +7,23 @@
 use crate::support::*;
 
 #[test]
-fn incomplete_requests_time_out() {
+fn incomplete_requests_and_idle_connections_time_out() {
     let upstream = ScriptedEndpoint::new(|_, _| ok("done"));
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let started = Instant::now();
-    let (mut silent, mut slow, mut incomplete, mut idle) =
+    let (mut silent, mut incomplete_head, mut incomplete_body, mut idle) =
         (node.client(), node.client(), node.client(), node.client());
-    slow.send(b"GET /view/1 HTTP/1.1\r\nHost: o");
-    incomplete.send(&order_request()[..order_request().len() - 1]);
+    incomplete_head.send(b"GET /view/1 HTTP/1.1\r\nHost: o");
+    incomplete_body.send(&order_request()[..order_request().len() - 1]);
     assert_eq!(idle.exchange(&view_request()).status(), 200);
-    assert_eq!(incomplete.receive().status(), 408);
-    for (case, client) in
-        [("silent", &mut silent), ("slow", &mut slow), ("incomplete", &mut incomplete), ("idle", &mut idle)]
-    {
-        assert!(client.is_closed(), "{case}");
+    assert_eq!(incomplete_body.receive().status(), 408);
+    for (case, client) in [
+        ("silent", &mut silent),
+        ("incomplete head", &mut incomplete_head),
+        ("incomplete body", &mut incomplete_body),
+        ("idle", &mut idle),
+    ] {
+        assert!(client.closes_without_data(), "{case}");
     }
     assert!(
         started.elapsed() < Duration::from_secs(10),
@@ -70,6 +73,8 @@
     let node = Node::start(&[ready_endpoint("a", &upstream)]);
     let mut client = node.client();
     assert_eq!(client.exchange(&view_request()).status(), 200);
+    // The idle time and the head together take at least 1200 + 7 * 220 = 2740 ms, which is longer than the
+    // head timeout of 2500 ms. The head alone takes far less.
     thread::sleep(Duration::from_millis(1200));
     let text = view_request();
     for piece in text.chunks(text.len() / 8) {
@@ -111,6 +116,8 @@
 #[test]
 fn a_small_response_may_arrive_slowly_in_pieces() {
     let pieces: Vec<Vec<u8>> = response(200, "", "done").chunks(4).map(<[u8]>::to_vec).collect();
+    // With a pause of 100 ms after each, more than 8 pieces take at least 800 ms. The response counts as
+    // stalled only after 300 ms without data.
     assert!(pieces.len() > 8);
     let upstream =
         ScriptedEndpoint::new(move |_, _| Reply::SendInPieces(pieces.clone(), Duration::from_millis(100)));
--- a/tests/node/standby.rs
+++ b/tests/node/standby.rs
@@ -33,12 +33,12 @@
         let response = client.exchange(&view_request());
         assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     }
-    assert!(idle.is_closed() && kept.is_closed() && late.is_closed());
+    assert!(idle.closes_without_data() && kept.closes_without_data() && late.closes_without_data());
     // An idle connection closes after 2.5 s even without standby; the load balancer in front of the nodes
     // waits for 4 s.
     assert!(draining_since.elapsed() < Duration::from_millis(1800), "{:?}", draining_since.elapsed());
     assert_eq!(busy.receive().body, b"done");
-    assert!(busy.is_closed());
+    assert!(busy.closes_without_data());
     assert_eq!(node.admin_request("POST", "/active", "").status(), 200);
     assert_eq!(node.health(), 200);
     assert_eq!(node.client().exchange(&view_request()).header("connection"), None);
--- a/tests/node/upstream_responses.rs
+++ b/tests/node/upstream_responses.rs
@@ -11,7 +11,7 @@
 use crate::support::*;
 
 #[test]
-fn an_incomplete_response_is_not_forwarded() {
+fn a_request_is_retried_after_an_incomplete_response() {
     let request_count = AtomicUsize::new(0);
     let upstream = ScriptedEndpoint::new(move |_, _| match request_count.fetch_add(1, Ordering::SeqCst) {
         0 => Reply::SendAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec()),
--- a/tests/node/version_upgrade.rs
+++ b/tests/node/version_upgrade.rs
@@ -20,7 +20,7 @@
 
 /// Name of the state file.
 const STATE_FILE_NAME: &str = "dunelink-n0.json";
-/// A state file as written by the program at commit dd85554.
+/// A state file in format version 1, as the program up to commit dd85554 wrote it.
 const PREVIOUS_STATE_FILE: &str = r#"{"version":1,"orders":{"starts":3,"standby":true,"maintenance":["a","b"],"returned":{"c":1764680000000000}}}"#;
 
 #[test]
--- a/tests/support/connection.rs
+++ b/tests/support/connection.rs
@@ -40,8 +40,8 @@
     }
 
     /// Waits for the next byte, and returns whether the node has closed the connection instead of sending
-    /// one.
-    pub fn is_closed(&mut self) -> bool {
+    /// one. A reset does not count as a close.
+    pub fn closes_without_data(&mut self) -> bool {
         matches!(self.reader.read(&mut [0]), Ok(0))
     }
 
@@ -55,7 +55,7 @@
 
     /// Discards all bytes up to the end of the stream, and returns whether the node closed or reset the
     /// connection before the read timeout.
-    pub fn reaches_close(&mut self) -> bool {
+    pub fn closes_after_any_data(&mut self) -> bool {
         match self.reader.read_to_end(&mut Vec::new()) {
             Ok(_) => true,
             Err(error) => error.kind() == std::io::ErrorKind::ConnectionReset,
--- a/tests/support/connections.rs
+++ b/tests/support/connections.rs
@@ -30,11 +30,12 @@
     (connection, request)
 }
 
-/// Waits until the node has at least this many descriptors open, which shows that it has accepted a client.
-pub fn wait_for_descriptors(node: &Node, descriptors: usize) {
+/// Waits until the node has at least this many descriptors open, for example because it has accepted a
+/// client.
+pub fn wait_until_descriptors_open(node: &Node, descriptors: usize) {
     let started = Instant::now();
     while node.open_descriptors() < descriptors {
-        assert!(started.elapsed() < EVENT_TIMEOUT, "the node has not accepted the client");
+        assert!(started.elapsed() < EVENT_TIMEOUT, "fewer than {descriptors} descriptors are open");
         thread::sleep(Duration::from_millis(1));
     }
 }
@@ -67,13 +68,13 @@
     }
 }
 
-/// A request that an endpoint has received and not answered yet.
-pub struct PendingExchange {
+/// An open request: an endpoint has received it and has not answered it yet.
+pub struct OpenRequest {
     pub client: Connection,
     pub upstream: Connection,
 }
 
-impl PendingExchange {
+impl OpenRequest {
     /// Sends a 200 response with these headers and this body from the endpoint, and checks that the client
     /// receives it.
     pub fn complete(&mut self, headers: &str, body: &str) {
@@ -84,12 +85,12 @@
 
 /// Sends `count` non-idempotent requests, each from a new client, and waits until an endpoint has received
 /// each. They use up this many slots of the endpoints' concurrency limits.
-pub fn start_pending_requests(node: &Node, listeners: &[TcpListener], count: usize) -> Vec<PendingExchange> {
+pub fn start_open_requests(node: &Node, listeners: &[TcpListener], count: usize) -> Vec<OpenRequest> {
     (0..count)
         .map(|_| {
             let mut client = node.client();
             client.send(&order_request());
-            PendingExchange { client, upstream: accept_request_from_any(listeners).0 }
+            OpenRequest { client, upstream: accept_request_from_any(listeners).0 }
         })
         .collect()
 }
--- a/tests/support/requests.rs
+++ b/tests/support/requests.rs
@@ -40,8 +40,9 @@
     .into_bytes()
 }
 
-/// Sleeps for 200 ms. An upstream connection is reused after a far shorter idle time.
-pub fn pause_before_reuse() {
+/// Sleeps for 200 ms. On an idle machine this is far longer than the node needs to read what has arrived, and
+/// far longer than the idle time of 10 ms after which an upstream connection may be reused.
+pub fn pause_200_ms() {
     thread::sleep(Duration::from_millis(200));
 }
 
--- a/tests/support/wait.rs
+++ b/tests/support/wait.rs
@@ -5,11 +5,12 @@
 
 use crate::support::*;
 
-/// Waits until a condition holds, and panics with `what` if it does not within [`EVENT_TIMEOUT`].
+/// Waits until a condition holds, and panics if it does not within [`EVENT_TIMEOUT`]. `what` is the condition
+/// in words, as a clause.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let started = Instant::now();
     while !holds() {
-        assert!(started.elapsed() < EVENT_TIMEOUT, "{what}");
+        assert!(started.elapsed() < EVENT_TIMEOUT, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
--- a/tests/unit/downstream.rs
+++ b/tests/unit/downstream.rs
@@ -41,16 +41,16 @@
     (client, connection)
 }
 
-/// Returns what a client receives if `end` asks its connection to end while the client's request is on its
-/// way. The kernel is polled before the connection's task runs, as happens under load.
-fn response_to_request_during(end: impl FnOnce(&DownstreamServer, &Connection)) -> String {
+/// Returns what a client receives if `request_end` asks its idle connection to end just before the client
+/// sends a request. As under load, the runtime polls the kernel before it runs the connection's task.
+fn response_to_request_during(request_end: impl FnOnce(&DownstreamServer, &Connection)) -> String {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let server = new_server();
         let (mut client, connection) = open_idle_connection(&server).await;
         // More tasks than the runtime runs between two polls of the kernel.
         (0..200).for_each(|_| drop(spawn_local(async {})));
-        end(&server, &connection);
+        request_end(&server, &connection);
         client.write_all(&HEALTH_CHECK[..FIRST_PART_BYTES]).unwrap();
         while !connection.observer().has_request_started() && !server.connections().is_empty() {
             yield_now().await;
--- a/tests/unit/hot_restart.rs
+++ b/tests/unit/hot_restart.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_single_process_uses_all_descriptors_at_once() {
+fn a_single_process_uses_all_descriptors_without_waiting() {
     let folder = TempFolder::new();
     let [mut process] = register_processes(&folder);
     let now = Instant::now();
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn waits_for_the_other_process_time_out() {
+fn each_process_stops_waiting_for_the_other_after_a_timeout() {
     let folder = TempFolder::new();
     let [mut older, newer] = register_processes(&folder);
     let now = Instant::now();
--- a/tests/unit/lifecycle.rs
+++ b/tests/unit/lifecycle.rs
@@ -31,13 +31,13 @@
     assert_eq!(observed_state(&lifecycle), ("leaving", true, false));
     lifecycle.set_standby(true);
     assert_eq!(observed_state(&lifecycle), ("leaving", false, false));
-    assert!(!lifecycle.is_standby(), "the shutdown closes its connections, not standby");
+    assert!(!lifecycle.is_standby(), "during the shutdown the process is not in the standby phase");
     lifecycle.set_standby(false);
     assert_eq!(observed_state(&lifecycle), ("leaving", true, false));
 }
 
 #[test]
-fn standby_carries_over_to_the_successor() {
+fn fails_health_checks_during_shutdown_if_the_node_is_in_standby() {
     let lifecycle = ready_lifecycle();
     lifecycle.set_standby(true);
     lifecycle.begin_shutdown(true);
--- a/tests/unit/response_framing.rs
+++ b/tests/unit/response_framing.rs
@@ -1,4 +1,4 @@
-//! Detection of the framing of responses, and of headers that state none or an ambiguous one.
+//! Detection of the framing of responses. Missing, ambiguous and unsupported framing is not recognized.
 
 use hyper::header::HeaderName;
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn missing_or_ambiguous_framing_is_no_framing() {
+fn missing_ambiguous_or_unsupported_framing_is_not_recognized() {
     for headers in [
         &[][..],
         &[("connection", "keep-alive")],
--- a/tests/unit/state_store.rs
+++ b/tests/unit/state_store.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::unit_support::TempFolder;
 
-/// A state file as written by versions of the program up to commit dd85554.
+/// A state file in format version 1, as the program up to commit dd85554 wrote it.
 const STATE_FILE: &str = r#"{"version":1,"orders":{"starts":3,"standby":true,"maintenance":["s-0a1aeea2","s-5be2a07c"],"returned":{"s-77":1764680000000000}}}"#;
 
 fn update(store: &StateStore, change: impl FnOnce(&mut AdminState)) -> Result<(), StateError> {
