--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -105,16 +105,11 @@
         self.engine.update_endpoints(kind, endpoints);
     }
 
-    /// Counts a failure, and logs it if it is the first since the last success. Further lines during a long
-    /// outage would add no information.
+    /// Counts a failure. Only the first one is logged, until a watch has opened or the address of discovery
+    /// has changed: further lines during a long outage would add no information.
     fn record_failure(&mut self, error: &WatchError) {
         if self.backoff.record_failure() {
-            log!(
-                "discovery watch failed: {}; the next one starts from revision {}; further failures are \
-                 logged only after a watch has opened or the address of discovery has changed",
-                ErrorChain(error),
-                self.revision
-            );
+            log!("discovery watch failed: {}; retrying from revision {}", ErrorChain(error), self.revision);
         }
     }
 }
--- a/src/node/lifecycle/hot_restart.rs
+++ b/src/node/lifecycle/hot_restart.rs
@@ -50,7 +50,8 @@
 }
 
 impl<C: ClientConnections> HotRestart<C> {
-    /// Registers the start of this process in `store`.
+    /// Registers the start of this process in `store`. If that fails, a predecessor that still runs
+    /// releases no descriptors, and this process does not wait for them.
     pub async fn register(
         store: Rc<StateStore>,
         lifecycle: Rc<Lifecycle>,
@@ -59,8 +60,8 @@
         let mut start_number = 0;
         if let Err(error) = store.update(|state| start_number = state.register_process()).await {
             log!(
-                "cannot register this process in the state file: {}; if a predecessor still runs, it \
-                 releases no descriptors, and this process does not wait for them",
+                "cannot register this process in the state file, so no predecessor releases descriptors to \
+                 it: {}",
                 ErrorChain(&error)
             );
         }
--- a/src/node/startup/error.rs
+++ b/src/node/startup/error.rs
@@ -37,7 +37,7 @@
     #[error("cannot register the inherited listener with the async runtime")]
     RegisterListener(#[source] io::Error),
     /// The node cannot listen on an address.
-    #[error("cannot listen on {address} (field {field:?} of the configuration)")]
+    #[error("cannot listen on {address} (configuration field {field})")]
     Listen {
         /// Field of the configuration for this address.
         field: &'static str,
@@ -47,7 +47,7 @@
         source: io::Error,
     },
     /// The local address of a listener cannot be determined.
-    #[error("cannot determine the local address of the listener (field {field:?} of the configuration)")]
+    #[error("cannot determine the local address of the listener (configuration field {field})")]
     LocalAddress {
         /// Field of the configuration for the listener's address.
         field: &'static str,
--- a/src/node/startup/mod.rs
+++ b/src/node/startup/mod.rs
@@ -63,12 +63,8 @@
     let config = Rc::new(Config::read(&path)?);
     let shares_listener = inherited.is_some();
     let listeners = Listeners::open(&config, inherited).await?;
-    log!(
-        "{} listens for clients (inherited socket: {}; if true, it accepts only once it is ready) on {}",
-        config.name,
-        shares_listener,
-        local_address("listen", &listeners.downstream)?
-    );
+    // With an inherited socket, the process accepts connections only once it is ready.
+    log!("{} listens for clients on {}", config.name, local_address("listen", &listeners.downstream)?);
     let node = Node::build(config, shares_listener, path, sighup)?;
     if let Some(listener) = listeners.admin {
         node.start_admin(listener)?;
--- a/src/node/state_store/mod.rs
+++ b/src/node/state_store/mod.rs
@@ -84,7 +84,8 @@
     }
 
     /// Reads the file if it was written since the last read, and returns whether the state has changed. A
-    /// file that cannot be read or decoded is logged once and leaves the state unchanged.
+    /// file that cannot be read or decoded is logged once and leaves the state unchanged. Without a known
+    /// state, it is the default one. The file is read again when it is written.
     pub fn refresh(&self) -> bool {
         // If the file is missing, the last state stays valid: the file existed before, and may reappear.
         let Ok(version) = FileVersion::of(&self.path) else { return false };
@@ -95,8 +96,7 @@
             Ok(state) => self.state.replace(state.clone()) != state,
             Err(error) => {
                 log!(
-                    "cannot use state file {}: {}; until it is written again, the previous standby and \
-                     maintenance state applies (none if the process has just started)",
+                    "cannot use state file {}, keeping the last known standby and maintenance state: {}",
                     self.path.display(),
                     ErrorChain(&error)
                 );
