--- a/src/node/lifecycle/shutdown.rs
+++ b/src/node/lifecycle/shutdown.rs
@@ -66,11 +66,12 @@
 impl<C: ClientConnections> GracefulShutdown<C> {
     /// Shuts down, and returns when the process may exit.
     pub async fn run(mut self) {
-        let deadline = Instant::now() + self.longest_deadline.min(REQUEST_DEADLINE_CAP) + SHUTDOWN_MARGIN;
+        let time_to_deadline = self.longest_deadline.min(REQUEST_DEADLINE_CAP) + SHUTDOWN_MARGIN;
+        let deadline = Instant::now() + time_to_deadline;
         log!(
             "{}: shutting down gracefully after SIGTERM; requests without a response fail in {:.2} s",
             self.node_name,
-            (deadline - Instant::now()).as_secs_f64()
+            time_to_deadline.as_secs_f64()
         );
         self.lifecycle.begin_shutdown(self.has_successor);
         if self.has_successor {
