--- a/src/settings_format.rs
+++ b/src/settings_format.rs
@@ -1,10 +1,10 @@
-//! The text form of [`Settings`]: one `path=value` pair a line.
+//! Parser for the text form of [`Settings`], which has one `path=value` pair per line.
 //!
-//! The simulator sends settings in this form, and the node's configuration is brought to it, so that both
-//! read them with the same code. A list of objects has its length under `LIST.count` and its objects under
-//! `LIST.0`, `LIST.1` and so on. The paths are those of `../given/docs/WIRE-mothspool.md`, "Start-up
-//! settings"; unknown ones are skipped, and an absent one has its value in [`Settings::default`] unless a
-//! constant here says otherwise.
+//! The simulator sends settings in this form, and the node converts its configuration to it, so that both
+//! use the same parser. For a list of objects, `LIST.count` is its length, and the paths of its objects
+//! start with `LIST.0`, `LIST.1` and so on. The paths are specified in `../given/docs/WIRE-mothspool.md`,
+//! section "Start-up settings". Unknown paths are skipped. An absent setting has its value from
+//! [`Settings::default`] unless this module gives it another default.
 
 use std::collections::BTreeMap;
 use std::str::{FromStr, Utf8Error};
@@ -14,44 +14,44 @@
 
 use crate::balancer::{DiscoveryMode, Idempotency, IdempotencyScope, RequestClass, Settings, Tenant};
 
-/// The deadline of a class that states none.
+/// Deadline of a class without `deadline_us`.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(1);
-/// The priority weight of a class that states none.
+/// Priority weight of a class without `points`.
 const DEFAULT_PRIORITY_WEIGHT: f64 = 1.0;
-/// The longest time between two polls of discovery where the settings state none.
+/// Maximum time between two polls of discovery if `obligations.ask_every_us` is absent.
 const DEFAULT_POLL_INTERVAL: Duration = Duration::from_secs(10);
-/// The value of `weights` that stands for weights which shrink under load.
+/// Value of `weights` for endpoint weights that decrease under load.
 const LOAD_DEPENDENT_WEIGHTS: &str = "live";
 
-/// Why a text holds no settings.
+/// An error in the text form of settings.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum SettingsFormatError {
     /// The text is not UTF-8.
     #[error("settings are not UTF-8")]
     NotUtf8(#[source] Utf8Error),
-    /// A value is not of its setting's type, or none of its choices.
+    /// A value has the wrong type, or is none of the values that its setting allows.
     #[error("setting {path} is '{value}', expected {expected}")]
     InvalidValue {
-        /// The setting's path.
+        /// Path of the setting.
         path: String,
-        /// Its value as written.
+        /// Value as written in the text.
         value: String,
-        /// What it may be.
+        /// Description of the valid values.
         expected: String,
     },
-    /// A list announces more objects than there are lines, so some have none.
+    /// The count of a list exceeds the number of settings in the text, so some objects have no setting.
     #[error("setting {list}.count is {count}, but there are only {settings} settings")]
     TooManyObjects {
-        /// The list's path.
+        /// Path of the list.
         list: &'static str,
-        /// How many objects it announces.
+        /// Value of `LIST.count`.
         count: usize,
-        /// How many lines the text has.
+        /// Number of settings in the text.
         settings: usize,
     },
 }
 
-/// Reads a node's settings. Whether they make sense together is for [`Settings::check`] to say.
+/// Parses the settings of a node. [`Settings::check`] then checks their ranges and consistency.
 pub fn parse_settings(text: &[u8]) -> Result<Settings, SettingsFormatError> {
     let text = std::str::from_utf8(text).map_err(SettingsFormatError::NotUtf8)?;
     let raw = RawSettings::new(text);
@@ -76,7 +76,7 @@
     })
 }
 
-/// The class of requests at `path`.
+/// Parses the request class at `path`.
 fn request_class(raw: &RawSettings<'_>, path: &str) -> Result<RequestClass, SettingsFormatError> {
     let key = |name: &str| format!("{path}.{name}");
     let scope = idempotency_scope(raw, &key("dedup_scope"))?;
@@ -92,7 +92,7 @@
     })
 }
 
-/// Which endpoints share the keys that they have seen.
+/// Parses the scope at `path`: which endpoints share the idempotency keys that they remember.
 fn idempotency_scope(raw: &RawSettings<'_>, path: &str) -> Result<IdempotencyScope, SettingsFormatError> {
     match raw.text(path) {
         None | Some("all") => Ok(IdempotencyScope::All),
@@ -102,7 +102,7 @@
     }
 }
 
-/// Whether requests of the class at `path` may execute more than once.
+/// Parses whether requests of the class at `path` may be executed more than once.
 fn idempotency(
     raw: &RawSettings<'_>,
     path: &str,
@@ -120,7 +120,7 @@
     }
 }
 
-/// The tenant at `path`.
+/// Parses the tenant at `path`.
 fn tenant(raw: &RawSettings<'_>, path: &str) -> Result<Tenant, SettingsFormatError> {
     Ok(Tenant {
         quota_per_second: raw.value(&format!("{path}.quota_rps"), 0.0)?,
@@ -128,7 +128,7 @@
     })
 }
 
-/// How the endpoint list reaches the node.
+/// Parses how the node gets the endpoint list.
 fn discovery_mode(raw: &RawSettings<'_>) -> Result<DiscoveryMode, SettingsFormatError> {
     match raw.text("discovery") {
         None | Some("automatic") => Ok(DiscoveryMode::Push),
@@ -140,7 +140,8 @@
     }
 }
 
-/// The longest retry delay that clients honour; zero where they are given none.
+/// Parses the longest `Retry-After` that clients honour. It is zero if the settings do not allow
+/// `Retry-After`.
 fn max_retry_after(raw: &RawSettings<'_>, default: Duration) -> Result<Duration, SettingsFormatError> {
     match raw.flag("allowed.retry_after", false)? {
         true => raw.duration("allowed.max_retry_after_us", default),
@@ -152,9 +153,9 @@
     SettingsFormatError::InvalidValue { path: path.into(), value: value.into(), expected: expected.into() }
 }
 
-/// A type that a setting may have.
+/// A type of setting values.
 trait SettingValue: FromStr {
-    /// What values of the type are called in errors.
+    /// Description of the valid values in errors.
     const EXPECTED: &'static str;
 }
 
@@ -178,7 +179,7 @@
     const EXPECTED: &'static str = "a number";
 }
 
-/// The pairs of a text; of two with the same path, the later one counts.
+/// Values of a text by path. If a path occurs more than once, its last value is used.
 struct RawSettings<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> RawSettings<'a> {
@@ -197,7 +198,7 @@
         text.parse().map_err(|_| invalid_value(path, text, T::EXPECTED))
     }
 
-    /// A boolean, which may also be written as a number.
+    /// Parses a boolean, which may also be written as `1` or `0`.
     fn flag(&self, path: &str, default: bool) -> Result<bool, SettingsFormatError> {
         match self.text(path) {
             Some("1") => Ok(true),
@@ -206,7 +207,7 @@
         }
     }
 
-    /// A duration in microseconds. A fraction of one is cut off, and a negative duration is none.
+    /// Parses a duration in microseconds. Fractions are truncated, and a negative duration becomes zero.
     fn duration(&self, path: &str, default: Duration) -> Result<Duration, SettingsFormatError> {
         match self.text(path) {
             None => Ok(default),
@@ -214,7 +215,7 @@
         }
     }
 
-    /// The objects of a list, each parsed from its path.
+    /// Parses the objects of a list, each from its path.
     fn objects<T>(
         &self,
         list: &'static str,
@@ -222,8 +223,8 @@
     ) -> Result<Vec<T>, SettingsFormatError> {
         let count = self.value(&format!("{list}.count"), 0)?;
         let settings = self.0.len();
-        // Each object has at least one line of its own: no count makes the node allocate more than it was
-        // sent.
+        // Each object needs at least one setting of its own. This check prevents a large count in a short
+        // text from making the node allocate more than the size of the text.
         if count > settings {
             return Err(SettingsFormatError::TooManyObjects { list, count, settings });
         }
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -1,4 +1,4 @@
-//! The real node over loopback sockets, against scripted peers.
+//! Tests of the node as a process, on loopback sockets, with scripted endpoints, discovery and clients.
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/tests/simulator/settings.rs
+++ b/tests/simulator/settings.rs
@@ -1,4 +1,4 @@
-//! The text form of settings.
+//! Parsing of the text form of settings.
 
 use std::time::Duration;
 
--- a/tests/support/command.rs
+++ b/tests/support/command.rs
@@ -1,4 +1,4 @@
-//! The program under test, its configuration and its state directory.
+//! The program under test, its configuration file and its state directory.
 
 use std::io::Read;
 use std::os::fd::AsFd;
@@ -13,7 +13,7 @@
     node_command().env("GW_CONFIG", write_config(config)).spawn().unwrap()
 }
 
-/// Writes a configuration to a file of its own.
+/// Writes a configuration to a new file and returns its path.
 pub fn write_config(config: &str) -> String {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
@@ -22,19 +22,20 @@
     path
 }
 
-/// The program with its log on a pipe.
+/// Returns a command for the program under test, with standard error on a pipe.
 pub fn node_command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_mothspool"));
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
     command
 }
 
-/// The program with a listening socket as descriptor 5.
+/// Returns a command for the program under test that inherits a listening socket as descriptor 5.
 pub fn command_with_inherited_socket(socket: &impl AsFd) -> Command {
     program_with_inherited_socket(env!("CARGO_BIN_EXE_mothspool").as_ref(), socket)
 }
 
-/// This program, which may be another version's, with a listening socket as descriptor 5.
+/// Returns a command for `program`, which may be another version of the node, that inherits a listening
+/// socket as descriptor 5.
 pub fn program_with_inherited_socket(program: &Path, socket: &impl AsFd) -> Command {
     let mut shell = Command::new("sh");
     shell.args(["-c", "exec \"$0\" 5<&0 0</dev/null"]).arg(program);
@@ -43,7 +44,8 @@
     shell
 }
 
-/// What a process that can't start logs: one line, here without the program's name. Its exit status is 1.
+/// Checks that the process exits with status 1 after logging one line, and returns this line without the
+/// program's name.
 pub fn expect_startup_error(mut child: Child) -> String {
     let mut log = String::new();
     child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
@@ -53,7 +55,7 @@
     line.to_string()
 }
 
-/// A directory of its own for the state file.
+/// Creates an empty directory for the state file of one test.
 pub fn state_dir() -> PathBuf {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
@@ -63,7 +65,7 @@
     path.into()
 }
 
-/// Settings with one class for each kind of idempotency.
+/// Returns settings with one class for each kind of idempotency.
 pub fn settings() -> Value {
     let class = |name: &str, idempotency: &str| {
         json!({"name": name, "idempotency": idempotency, "dedup_scope": "cell", "window_us": 10_000_000,
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Scripted peers on loopback: the node under test, upstream servers, discovery, and clients.
+//! Helpers that run the node as a process on loopback, with scripted endpoints, discovery and clients.
 
 mod bodies;
 mod command;
--- a/tests/support/requests.rs
+++ b/tests/support/requests.rs
@@ -1,26 +1,26 @@
-//! Requests as bytes.
+//! Serialized requests.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 use std::time::Duration;
 
-/// The health check of the load balancer in front of the node.
+/// Health check as the load balancer in front of the node sends it.
 pub const HEALTH_REQUEST: &[u8] = b"GET /_health HTTP/1.1\r\nHost: n\r\n\r\n";
 
-/// A request to the admin API.
+/// Returns a request to the admin API.
 pub fn admin_request(method: &str, path: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!("{method} {path} HTTP/1.1\r\nHost: n\r\nContent-Length: {length}\r\n\r\n{body}").into_bytes()
 }
 
-/// A request with an id of its own and these further header lines.
+/// Returns a request with a unique id and these additional header lines.
 pub fn request(method: &str, path: &str, deadline: &str, extra_headers: &str, body: &str) -> Vec<u8> {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let id = format!("9b1f03aa{:08x}", NUMBER.fetch_add(1, Ordering::SeqCst));
     request_with_id(&id, method, path, deadline, extra_headers, body)
 }
 
-/// A request with this id and these further header lines.
+/// Returns a request with this id and these additional header lines.
 pub fn request_with_id(
     id: &str,
     method: &str,
@@ -40,27 +40,28 @@
     .into_bytes()
 }
 
-/// Waits far longer than the node keeps an upstream connection unused after a response.
+/// Sleeps for far longer than an upstream connection has to be idle after a response before the node reuses
+/// it.
 pub fn pause_before_reuse() {
     thread::sleep(Duration::from_millis(200));
 }
 
-/// A request of the idempotent class.
+/// Returns a request of the idempotent class.
 pub fn view_request() -> Vec<u8> {
     request("GET", "/view/7f3a?x=1", "14.0", "", "")
 }
 
-/// A request of the class that is idempotent with a key.
+/// Returns a request of the class that is idempotent with an idempotency key.
 pub fn submit_request() -> Vec<u8> {
     request("POST", "/submit/7f3a", "14.0", "Idempotency-Key: 5c0f6e1a\r\n", "hours")
 }
 
-/// A request of the non-idempotent class.
+/// Returns a request of the non-idempotent class.
 pub fn order_request() -> Vec<u8> {
     request("POST", "/order/7f3a", "14.0", "", "yen")
 }
 
-/// The head of a request without a `Content-Length` of its own.
+/// Returns the head of a request, without a `Content-Length` except as part of `extra_headers`.
 pub fn request_head(method: &str, path: &str, extra_headers: &str) -> Vec<u8> {
     let text = String::from_utf8(request("GET", path, "14.0", extra_headers, "")).unwrap();
     text.replacen("GET", method, 1).into_bytes()
--- a/tests/support/wait.rs
+++ b/tests/support/wait.rs
@@ -1,11 +1,11 @@
-//! Waiting for conditions.
+//! Waiting for conditions with a timeout.
 
 use std::thread;
 use std::time::{Duration, Instant};
 
 use crate::support::*;
 
-/// Waits until a condition holds, and fails with its description if it does not.
+/// Waits until a condition holds, and panics with `what` if it does not within [`EVENT_TIMEOUT`].
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let started = Instant::now();
     while !holds() {
@@ -14,10 +14,10 @@
     }
 }
 
-/// No event takes this long: only a failing test waits for it.
+/// Timeout for expected events. It is long enough that only a failing test reaches it.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Whether a request of each class gets this body.
+/// Sends one request of each class, and returns whether each response has this body.
 pub fn serves_every_class(node: &Node, body: &str) -> bool {
     [view_request(), submit_request(), order_request()]
         .iter()
--- a/tests/unit/support.rs
+++ b/tests/unit/support.rs
@@ -1,4 +1,4 @@
-//! What unit tests of the node share.
+//! Helpers shared by the unit tests of the node.
 
 use std::fs;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 use crate::config::Config;
 use crate::upstream::UpstreamPool;
 
-/// An empty folder, removed when dropped.
+/// A temporary folder, initially empty. It is removed with its files when this value is dropped.
 pub struct TempFolder(pub PathBuf);
 
 impl TempFolder {
@@ -21,7 +21,7 @@
         TempFolder(path)
     }
 
-    /// The names of the files in it, sorted.
+    /// Returns the sorted names of the files in the folder.
     pub fn file_names(&self) -> Vec<String> {
         let entries = fs::read_dir(&self.0).unwrap();
         let mut names: Vec<String> =
@@ -41,7 +41,7 @@
     }
 }
 
-/// A small configuration, with one class of requests.
+/// Returns a minimal configuration with one request class.
 pub fn config() -> Rc<Config> {
     let class = r#"{"name":"view","idempotency":"pure","goal_time_us":100000,"deadline_us":1000000}"#;
     let text = format!(
@@ -53,7 +53,7 @@
     Rc::new(Config::read(path.to_str().unwrap()).unwrap())
 }
 
-/// A connection pool without endpoints.
+/// Returns a pool of upstream connections without endpoints.
 pub fn upstream_pool() -> Rc<UpstreamPool> {
     let config = config();
     Rc::new(UpstreamPool::new(&config, BufferBudget::new(config.limits.memory)))
