--- a/src/simulator/decode.rs
+++ b/src/simulator/decode.rs
@@ -1,4 +1,4 @@
-//! Decoding of batches: records, and the numbered endpoint lists that they refer to.
+//! Decoding of batches, with the numbered endpoint lists to which their records refer.
 
 use std::time::Duration;
 
@@ -11,38 +11,38 @@
 };
 use crate::simulator::error::WireError;
 
-/// One record of a batch, with list numbers resolved.
+/// A record of a batch. Numbers of endpoint lists are replaced by the lists.
 #[derive(Debug, PartialEq)]
 pub enum Record {
-    /// The records that follow are for this instance.
+    /// The following records are for the node of this number.
     Node(u16),
-    /// The instance starts, with this seed and these settings and nothing else.
+    /// The node starts with this seed and these settings, and without any earlier state.
     Launch(u64, Box<Settings>),
-    /// The instance is killed.
+    /// The node is killed.
     Crash,
-    /// An event for the instance's balancer.
+    /// An event for the balancer of the node.
     Event(Event),
 }
 
 /// A decoded batch.
 #[derive(Debug, PartialEq)]
 pub struct Batch {
-    /// The batch's clock.
+    /// Time of the batch.
     pub now: Timestamp,
-    /// The batch's number.
+    /// Number of the batch.
     pub number: u32,
-    /// Its records, in order.
+    /// Records of the batch, in order.
     pub records: Vec<Record>,
 }
 
-/// Decodes batches, and keeps the numbered endpoint lists between them.
+/// Decoder of batches. It keeps the numbered endpoint lists from one batch to the next.
 #[derive(Default)]
 pub struct Decoder {
     lists: [Vec<EndpointInfo>; CATALOG_COUNT],
 }
 
 impl Decoder {
-    /// Decodes a batch: all of a frame after its length.
+    /// Decodes a batch from a frame without its length.
     pub fn decode_batch(&mut self, frame: &[u8]) -> Result<Batch, WireError> {
         let mut fields = FieldReader(frame);
         let now = fields.timestamp("clock")?;
@@ -54,7 +54,7 @@
         Ok(Batch { now, number, records })
     }
 
-    /// Decodes one record; none for those that carry nothing that a balancer acts on.
+    /// Decodes one record. Returns `None` if nothing in the record has to be passed to a node.
     fn decode_record(&mut self, fields: &mut FieldReader<'_>) -> Result<Option<Record>, WireError> {
         let event = match fields.u16("record code")? {
             code::LAUNCH => return decode_launch(fields).map(Some),
@@ -74,7 +74,7 @@
         Ok(Some(Record::Event(event)))
     }
 
-    /// A new list under its number.
+    /// Decodes an endpoint list and stores it under its number.
     fn store_list(&mut self, fields: &mut FieldReader<'_>) -> Result<(), WireError> {
         let number = usize::from(fields.u8("Catalog.set_id")?);
         let list = decode_endpoint_list(fields)?;
@@ -146,7 +146,7 @@
     Ok(Event::AttemptEnded(AttemptResult { request, attempt, outcome, elapsed, request_finished }))
 }
 
-/// Balancers send no probes.
+/// Skips the result of a probe. Balancers send no probes.
 fn skip_ping_result(fields: &mut FieldReader<'_>) -> Result<(), WireError> {
     fields.duration("PingResult.wait_time_us")?;
     fields.endpoint("PingResult.server")?;
@@ -154,7 +154,7 @@
     fields.skip_load_report("PingResult.feedback")
 }
 
-/// Balancers send each other nothing.
+/// Skips a message from another node. Balancers send each other no messages.
 fn skip_peer(fields: &mut FieldReader<'_>) -> Result<(), WireError> {
     fields.u32("Peer.sender")?;
     let length = usize::from(fields.u16("Peer.blob length")?);
@@ -192,8 +192,8 @@
     }
 }
 
-/// A weight that is infinite or not a number counts as unknown (zero), lest it spoils averages over
-/// endpoints.
+/// Decodes a weight. One that is infinite, not a number or negative becomes 0, which stands for an unknown
+/// weight; otherwise it would distort averages over endpoints.
 fn decode_endpoint_weight(nominal: f32) -> f64 {
     match nominal.is_finite() {
         true => f64::from(nominal.max(0.0)),
@@ -215,7 +215,8 @@
     }
 }
 
-/// Reads fields off the front of a slice, little-endian unless said otherwise. Errors name the field.
+/// Reads fields from the front of a slice. They are little-endian unless stated otherwise. Errors name the
+/// field.
 struct FieldReader<'a>(&'a [u8]);
 
 impl<'a> FieldReader<'a> {
@@ -257,24 +258,25 @@
         self.array(field).map(f32::from_le_bytes)
     }
 
-    /// Microseconds in 32 bits.
+    /// Reads a duration in microseconds, with 32 bits.
     fn duration(&mut self, field: &'static str) -> Result<Duration, WireError> {
         self.u32(field).map(|micros| Duration::from_micros(micros.into()))
     }
 
-    /// Microseconds on the simulator's clock in 64 bits.
+    /// Reads a time of the simulator's clock in microseconds, with 64 bits.
     fn timestamp(&mut self, field: &'static str) -> Result<Timestamp, WireError> {
         self.u64(field).map(Timestamp::from_micros)
     }
 
-    /// Four bytes of address, first byte first, and a port.
+    /// Reads an IPv4 address, which is big-endian, and a port.
     fn endpoint(&mut self, field: &'static str) -> Result<EndpointId, WireError> {
         let address = u32::from_be_bytes(self.array(field)?);
         let port = self.u16(field)?;
         Ok(u64::from(address) << 16 | u64::from(port))
     }
 
-    /// A count and so many `f32`. Balancers go by what they observe themselves.
+    /// Skips a load report: a count, followed by that number of `f32` values. Balancers use only what they
+    /// observe themselves.
     fn skip_load_report(&mut self, field: &'static str) -> Result<(), WireError> {
         let values = usize::from(self.u8(field)?);
         self.bytes(field, values * size_of::<f32>()).map(drop)
--- a/src/simulator/encode.rs
+++ b/src/simulator/encode.rs
@@ -1,36 +1,37 @@
-//! Encoding of replies: the actions of a batch as one frame.
+//! Encoding of replies. A reply is one frame with the actions for a batch.
 
 use std::time::Duration;
 
 use crate::balancer::{Action, AttemptNumber, EndpointId, RequestId};
 use crate::simulator::codes::{NO_TIMEOUT, OBSERVE_ACTIVE, action as code};
 
-/// Collects the actions of a reply.
+/// A reply to which actions are added.
 #[derive(Default)]
 pub struct Reply {
     record_count: u32,
-    /// The records, without the frame's header.
+    /// The encoded records, without the header of the frame.
     records: Vec<u8>,
-    /// The instance whose actions come last.
+    /// Number of the node to which the last action belongs.
     current_node: Option<u16>,
 }
 
 impl Reply {
-    /// Removes all actions, for the next batch.
+    /// Removes all actions, so that the reply can be used for the next batch.
     pub fn clear(&mut self) {
         self.record_count = 0;
         self.records.clear();
         self.current_node = None;
     }
 
-    /// Adds an action of an instance.
+    /// Adds an action of the node of this number.
     pub fn push(&mut self, node: u16, action: Action) {
         if self.current_node != Some(node) {
             self.current_node = Some(node);
             self.begin_record(code::FROM).u16(node);
         }
         match action {
-            // On the wire an attempt counts as sent at once, however late its connection is established.
+            // `begin_by` has no use here: the simulator counts an attempt as sent at once, however late its
+            // connection is established.
             Action::Send { request, endpoint, begin_by: _ } => self.route(request, endpoint),
             Action::Reject { request, retry_after } => self.deny(request, retry_after),
             Action::Fail(request) => {
@@ -60,7 +61,7 @@
         self.begin_record(code::SCHEDULE).duration(after).u64(token);
     }
 
-    /// Begins a record of this code; its fields follow.
+    /// Begins a record with its code. The caller appends the fields.
     fn begin_record(&mut self, code: u16) -> FieldWriter<'_> {
         self.record_count += 1;
         let mut fields = FieldWriter(&mut self.records);
@@ -68,7 +69,7 @@
         fields
     }
 
-    /// The frame of the reply to the batch of this number.
+    /// Returns the frame of the reply to the batch of this number.
     pub fn to_frame(&self, batch: u32) -> Vec<u8> {
         const BATCH_BYTES: u32 = 4;
         const HEADER_BYTES: usize = 12;
@@ -81,7 +82,7 @@
     }
 }
 
-/// Appends fields to records, little-endian unless said otherwise.
+/// Appends fields to the records. They are little-endian unless stated otherwise.
 struct FieldWriter<'a>(&'a mut Vec<u8>);
 
 impl FieldWriter<'_> {
@@ -105,12 +106,13 @@
         self
     }
 
-    /// Microseconds, cut off at 71 minutes, the most that the field holds.
+    /// Appends a duration in microseconds, with 32 bits. A longer one than the field can hold, which is about
+    /// 71 minutes, becomes the maximum of the field.
     fn duration(&mut self, value: Duration) -> &mut Self {
         self.u32(u32::try_from(value.as_micros()).unwrap_or(u32::MAX))
     }
 
-    /// Four bytes of address, first byte first, and a port.
+    /// Appends an IPv4 address, which is big-endian, and a port.
     fn endpoint(&mut self, id: EndpointId) -> &mut Self {
         let (address, port) = ((id >> 16) as u32, id as u16);
         self.0.extend(address.to_be_bytes());
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the simulator's wire and of the program that speaks it.
+//! Errors of the simulator's wire and of the program `mothspool-simulator`.
 
 use std::io;
 
@@ -7,70 +7,70 @@
 use crate::balancer::SettingsError;
 use crate::settings_format::SettingsFormatError;
 
-/// Why a frame can't be decoded.
+/// An error in the input that prevents the decoding of a frame.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum WireError {
     /// The input ends within the four bytes of a frame's length.
-    #[error("malformed input: it ends within a frame's length, after {received} of 4 bytes")]
+    #[error("malformed input: unexpected end within a frame's length, after {received} of 4 bytes")]
     TruncatedLength {
-        /// How many bytes of the length there are.
+        /// Number of bytes of the length in the input.
         received: usize,
     },
     /// The input ends within a frame.
-    #[error("malformed input: it ends within a frame, after {received} of {announced} bytes")]
+    #[error("malformed input: unexpected end within a frame, after {received} of {announced} bytes")]
     TruncatedFrame {
-        /// How many bytes of the frame there are.
+        /// Number of bytes of the frame in the input.
         received: u64,
-        /// How many its length announces.
+        /// Number of bytes according to the frame's length.
         announced: u64,
     },
-    /// A field is longer than what is left of its frame.
-    #[error("malformed input: {field}: {needed} bytes announced, {remaining} left in the frame")]
+    /// A field is longer than the rest of its frame.
+    #[error("malformed input: {field} needs {needed} bytes, but {remaining} are left in the frame")]
     TruncatedField {
-        /// The field, with the name of the wire's page.
+        /// Name of the field in the specification of the wire.
         field: &'static str,
-        /// How many bytes the field has, by its type or its count.
+        /// Size of the field in bytes, according to its type or its count.
         needed: usize,
-        /// How many bytes the frame still has.
+        /// Number of bytes that are left in the frame.
         remaining: usize,
     },
-    /// A field holds a code that the wire does not have.
+    /// The code in a field is unknown.
     #[error("malformed input: unknown {field} {code}")]
     UnknownCode {
-        /// What the code stands for.
+        /// Description of the field.
         field: &'static str,
         /// The code.
         code: u16,
     },
-    /// The number of an endpoint list is out of bounds.
+    /// The number of an endpoint list is out of range.
     #[error("malformed input: endpoint list number {number} is not below {bound}")]
     ListNumberOutOfRange {
         /// The number.
         number: usize,
-        /// How many lists there are.
+        /// Number of lists.
         bound: usize,
     },
-    /// An endpoint list announces more entries than memory can address.
+    /// The size in bytes of an endpoint list exceeds the range of `usize`.
     #[error("malformed input: an endpoint list of {count} entries is too long")]
     ListTooLong {
-        /// How many entries it announces.
+        /// Number of entries according to the list's count.
         count: usize,
     },
-    /// The settings of a `Launch` can't be read.
+    /// The settings of a `Launch` cannot be parsed.
     #[error("malformed input: {0}")]
     Settings(#[from] SettingsFormatError),
 }
 
-/// Why the program ends before its input does.
+/// An error that ends the program before the end of its input.
 #[derive(Debug, Error)]
 pub enum HostError {
-    /// The input can't be decoded.
+    /// The input cannot be decoded.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// The settings of a `Launch` make no sense together.
+    /// A value in the settings of a `Launch` is out of range or inconsistent with the others.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The input can't be read, or the output can't be written.
+    /// The input cannot be read, or the output cannot be written.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
--- a/src/simulator/frames.rs
+++ b/src/simulator/frames.rs
@@ -1,15 +1,16 @@
-//! Reading frames: a length of four bytes, little-endian, and so many bytes.
+//! Reading of frames. A frame is a length in 4 bytes, little-endian, followed by that number of bytes.
 
 use std::io::Read;
 
 use crate::simulator::error::{HostError, WireError};
 
-/// The bytes of a frame's length.
+/// Size of a frame's length in bytes.
 const LENGTH_BYTES: u64 = 4;
 
-/// Reads the next frame into `frame`; false at the end of the input.
+/// Reads the next frame, without its length, into `frame`. Returns false at the end of the input.
 ///
-/// Memory grows only with bytes that arrive, not with what a length announces.
+/// Memory is allocated for bytes that have arrived, not in advance for the length of the frame, which may be
+/// wrong.
 pub fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, HostError> {
     frame.clear();
     let received = input.take(LENGTH_BYTES).read_to_end(frame)?;
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -1,4 +1,4 @@
-//! Hosts many balancers, one for each instance of the simulator.
+//! Runs many balancers in one process, one for each node of the simulator.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -9,7 +9,7 @@
 use crate::simulator::error::HostError;
 use crate::simulator::frames::read_frame;
 
-/// Replies to each batch of the input until it ends.
+/// Reads batches until the input ends, and writes a reply to each.
 pub fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), HostError> {
     let mut host = Host::default();
     let mut frame = Vec::new();
@@ -20,25 +20,25 @@
     Ok(())
 }
 
-/// A running node.
+/// A running node of the simulator.
 struct Node {
     balancer: Balancer,
-    /// Whether the site has tenants: without any, the tenant of a request has no meaning.
+    /// Whether the settings have tenants. If they have none, the tenant of a request has no meaning.
     has_tenants: bool,
 }
 
-/// The instances of a process, by their numbers.
+/// The nodes of the simulator that run in this process, by number.
 #[derive(Default)]
 pub struct Host {
     decoder: Decoder,
     nodes: BTreeMap<u16, Node>,
     reply: Reply,
-    /// The actions of the event at hand; empty between events.
+    /// Actions of the event that is being handled. It is empty between events.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Carries out a batch (all of a frame after its length); its reply as a frame.
+    /// Handles the batch in a frame without its length, and returns the frame of the reply.
     pub fn handle_batch(&mut self, frame: &[u8]) -> Result<Vec<u8>, HostError> {
         let batch = self.decoder.decode_batch(frame)?;
         self.reply.clear();
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    /// Passes an event to its instance, if that runs, and its actions to the reply.
+    /// Passes an event to its node, if the node is running, and adds the resulting actions to the reply.
     fn handle_event(&mut self, number: u16, now: Timestamp, mut event: Event) {
         let Some(node) = self.nodes.get_mut(&number) else {
             return;
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,6 +1,7 @@
-//! The simulator's wire, and the host of many balancers behind it: the program `mothspool-simulator`.
+//! The adapter to the simulator, used by the program `mothspool-simulator`: it decodes the simulator's input,
+//! passes the events to a balancer for each node, and encodes the actions.
 //!
-//! The wire is described in `../given/docs/WIRE-mothspool.md`. Nothing is decided here.
+//! The wire is specified in `../given/docs/WIRE-mothspool.md`. All decisions are made in [`crate::balancer`].
 
 mod codes;
 pub mod decode;
--- a/tests/simulator/encoding.rs
+++ b/tests/simulator/encoding.rs
@@ -1,4 +1,4 @@
-//! Replies, written out byte by byte from the tables of the wire.
+//! Encoding of replies, whose bytes are written by hand from the tables of the wire's specification.
 
 use std::time::Duration;
 
